--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallMachine.java
@@ -68,16 +68,16 @@
                 fleet,
                 new UrgentCallsFirst(),
                 placement(domain, policy),
-                policy.uses(Mechanism.HEDGED_CALLS),
+                policy.isEnabled(Mechanism.HEDGED_CALLS),
                 outputs);
     }
 
     private static CallPlacement placement(FailureDomain domain, Policy policy) {
-        double share = policy.uses(Mechanism.BACKGROUND_SHARE) ? BACKGROUND_SHARE : 1;
-        if (!policy.uses(Mechanism.CALL_PLACEMENT)) {
+        double share = policy.isEnabled(Mechanism.BACKGROUND_SHARE) ? BACKGROUND_SHARE : 1;
+        if (!policy.isEnabled(Mechanism.CALL_PLACEMENT)) {
             return new RoundRobinCalls(share);
         }
-        return policy.uses(Mechanism.OWN_DOMAIN)
+        return policy.isEnabled(Mechanism.OWN_DOMAIN)
                 ? FastestAnswer.in(domain, share)
                 : FastestAnswer.anywhere(share);
     }
@@ -187,7 +187,7 @@
         if (!mHedges || call.mOpen.size() != 1 || call.mCommitted || !call.mayRunAgain()) {
             return false;
         }
-        long goal = Nanos.ofMillis(call.mSpec.route().call().goalMillis());
+        long goal = Nanos.ofMillis(call.mSpec.route().call().targetLatencyMillis());
         return now - call.mSentAt >= (long) (HEDGE_SHARE * goal);
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/policy/Mechanism.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/policy/Mechanism.java
@@ -35,7 +35,7 @@
     TRY_OUTDATED;
 
     /** Returns the name in settings. */
-    public String key() {
+    public String settingKey() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/policy/Policy.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/policy/Policy.java
@@ -10,24 +10,24 @@
  *
  * @param off the mechanisms that are left out
  */
-public record Policy(Set<Mechanism> off) {
+public record Policy(Set<Mechanism> disabled) {
     /** Every mechanism is used. */
     public static final Policy ALL = new Policy(Set.of());
 
     /** Copies the set. */
     public Policy {
-        off = Set.copyOf(off);
+        disabled = Set.copyOf(disabled);
     }
 
     /** Returns whether a mechanism is used. */
-    public boolean uses(Mechanism mechanism) {
-        return !off.contains(mechanism);
+    public boolean isEnabled(Mechanism mechanism) {
+        return !disabled.contains(mechanism);
     }
 
     /** Returns the same policy without a mechanism. */
     public Policy without(Mechanism mechanism) {
         EnumSet<Mechanism> more = EnumSet.of(mechanism);
-        more.addAll(off);
+        more.addAll(disabled);
         return new Policy(more);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/route/CallTerms.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/route/CallOptions.java
@@ -10,11 +10,12 @@
  * @param maxAttempts the most endpoints on which one call may run
  * @param priority the rank of the route; zero is the highest
  */
-public record CallTerms(long timeoutMillis, long goalMillis, int maxAttempts, int priority) {
+public record CallOptions(
+        long timeoutMillis, long targetLatencyMillis, int maxAttempts, int priority) {
     /** Checks that times and attempts are positive. */
-    public CallTerms {
+    public CallOptions {
         checkArgument(timeoutMillis > 0, "timeout is not positive: %s ms", timeoutMillis);
-        checkArgument(goalMillis > 0, "goal is not positive: %s ms", goalMillis);
+        checkArgument(targetLatencyMillis > 0, "goal is not positive: %s ms", targetLatencyMillis);
         checkArgument(maxAttempts > 0, "attempts are not positive: %s", maxAttempts);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/route/CallerLimits.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/route/CallerLimits.java
@@ -8,4 +8,5 @@
  * @param headerMillis how long headers may take, in milliseconds
  * @param idleMillis how long a connection may be idle, in milliseconds
  */
-public record CallerLimits(int headerBytes, int bodyBytes, long headerMillis, long idleMillis) {}
+public record CallerLimits(
+        int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {}
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/route/Route.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/route/Route.java
@@ -25,8 +25,8 @@
         String prefix,
         RouteKind kind,
         List<WeightedService> services,
-        CallTerms call,
-        StepTerms step) {
+        CallOptions call,
+        StepOptions step) {
     /** Checks that a service answers. */
     public Route {
         services = List.copyOf(services);
@@ -34,7 +34,7 @@
     }
 
     /** Returns a service, chosen by the weights. */
-    public ServiceName pick(RandomGenerator random) {
+    public ServiceName pickService(RandomGenerator random) {
         int total = services.stream().mapToInt(WeightedService::weight).sum();
         if (total <= 0) {
             return services.get(0).service();
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/route/RouteTable.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/route/RouteTable.java
@@ -65,7 +65,7 @@
     }
 
     /** Returns whether a configuration is known. */
-    public boolean isKnown() {
+    public boolean isConfigured() {
         return mVersion > 0;
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/route/StepTerms.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/route/StepOptions.java
@@ -7,7 +7,7 @@
  * @param giveUpMillis when a sample may be given up after the submission, in milliseconds
  * @param singleVersion whether a sample must come from one version of the weights
  */
-public record StepTerms(long dueMillis, long giveUpMillis, boolean singleVersion) {
+public record StepOptions(long dueMillis, long abandonMillis, boolean singleVersion) {
     /** The terms of a route that takes no steps. */
-    public static final StepTerms NONE = new StepTerms(0, 0, false);
+    public static final StepOptions NONE = new StepOptions(0, 0, false);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/CarriedTexts.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/CarriedTexts.java
@@ -29,24 +29,24 @@
      * @param listed the results that the earlier step listed
      * @param partial the texts that it did not list
      */
-    public static List<PartialText> fitting(
+    public static List<SampleCheckpoint> selectUsable(
             StepSpec step,
             boolean singleVersion,
             Collection<SampleResult> listed,
-            Collection<PartialText> partial) {
+            Collection<SampleCheckpoint> partial) {
         Set<String> wanted = new HashSet<>();
         step.samples().forEach(sample -> wanted.add(sample.id()));
-        Map<String, PartialText> texts = new LinkedHashMap<>();
-        for (PartialText text : partial) {
+        Map<String, SampleCheckpoint> texts = new LinkedHashMap<>();
+        for (SampleCheckpoint text : partial) {
             texts.put(text.id(), text);
         }
         for (SampleResult result : listed) {
             if (result.done()) {
-                texts.put(result.id(), PartialText.whole(result));
+                texts.put(result.id(), SampleCheckpoint.ofResult(result));
             }
         }
-        List<PartialText> fitting = new ArrayList<>();
-        for (PartialText text : texts.values()) {
+        List<SampleCheckpoint> fitting = new ArrayList<>();
+        for (SampleCheckpoint text : texts.values()) {
             if (wanted.contains(text.id()) && fits(text, step, singleVersion)) {
                 fitting.add(text);
             }
@@ -54,7 +54,7 @@
         return fitting;
     }
 
-    private static boolean fits(PartialText text, StepSpec step, boolean singleVersion) {
+    private static boolean fits(SampleCheckpoint text, StepSpec step, boolean singleVersion) {
         Set<Integer> versions = new HashSet<>(text.versions());
         boolean fresh = versions.stream().allMatch(version -> version >= step.minVersion());
         return fresh && !versions.isEmpty() && !(singleVersion && versions.size() > 1);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/GroupOrder.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/GroupRanking.java
@@ -14,17 +14,17 @@
  * expected to take longest are left for last, while those that were carried over from an earlier
  * step come first. Stateless and thread safe.
  */
-final class GroupOrder {
+final class GroupRanking {
     /** The rank of groups without which the trainer goes on. */
-    static final int SPARE = 1;
+    static final int SURPLUS = 1;
 
     /** The rank of groups that the trainer should get. */
     static final int WANTED = 0;
 
-    private GroupOrder() {}
+    private GroupRanking() {}
 
     /** Returns the rank of each group. */
-    static Map<String, Integer> ranks(StepSpec step) {
+    static Map<String, Integer> rankGroups(StepSpec step) {
         Map<String, Long> longest = new LinkedHashMap<>();
         for (SampleSpec sample : step.samples()) {
             longest.merge(sample.group(), sample.expectedTokens(), Math::max);
@@ -42,7 +42,7 @@
                         .thenComparing(place::get));
         Map<String, Integer> ranks = new HashMap<>();
         for (String group : groups) {
-            ranks.put(group, ranks.size() < step.wantedGroups() ? WANTED : SPARE);
+            ranks.put(group, ranks.size() < step.wantedGroups() ? WANTED : SURPLUS);
         }
         return ranks;
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RoundRobinPlacement.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RoundRobinPlacement.java
@@ -12,12 +12,12 @@
     private final Turns mTurns = new Turns();
 
     @Override
-    public int room(Endpoint endpoint, double bestPace) {
+    public int concurrencyLimit(Endpoint endpoint, double bestPace) {
         return endpoint.record().slots();
     }
 
     @Override
-    public double cost(Endpoint endpoint, SampleRun sample, double bestPace) {
+    public double cost(Endpoint endpoint, SampleProgress sample, double bestPace) {
         return mTurns.of(endpoint);
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RunTerms.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RunOptions.java
@@ -6,4 +6,4 @@
  * @param urgency its priority, zero the highest
  * @param expectedVersion the only weight version under which it may run; zero for any
  */
-public record RunTerms(int urgency, int expectedVersion) {}
+public record RunOptions(int priority, int expectedVersion) {}
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RunEnd.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RunOutcome.java
@@ -1,7 +1,7 @@
 package org.ebonyrun.core.step;
 
 /** How one run of a sample at an endpoint ended. */
-public enum RunEnd {
+public enum RunOutcome {
     /** The stream was whole. */
     COMPLETE,
     /** The stream ended with its connection; whether it was whole is not known. */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/PartialText.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleCheckpoint.java
@@ -14,10 +14,10 @@
  * @param versions the weight version of each of these events
  * @param complete whether the text is whole and only its score is missing
  */
-public record PartialText(
+public record SampleCheckpoint(
         String id, List<String> events, List<Integer> versions, boolean complete) {
     /** Copies the lists. */
-    public PartialText {
+    public SampleCheckpoint {
         events = List.copyOf(events);
         versions = List.copyOf(versions);
         checkArgument(
@@ -34,7 +34,7 @@
      *
      * @throws IllegalArgumentException if the result was given up
      */
-    public static PartialText whole(SampleResult result) {
+    public static SampleCheckpoint ofResult(SampleResult result) {
         checkArgument(result.done(), "sample %s was given up", result.id());
         List<String> lines = List.of(result.text().split("\n", -1));
         List<Integer> known = result.versions().isEmpty() ? List.of(0) : result.versions();
@@ -42,6 +42,6 @@
         for (int i = 0; i < lines.size(); i++) {
             versions.add(known.get(Math.min(i, known.size() - 1)));
         }
-        return new PartialText(result.id(), lines, versions, true);
+        return new SampleCheckpoint(result.id(), lines, versions, true);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleRun.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleProgress.java
@@ -15,7 +15,7 @@
  *
  * <p>Not thread safe; confined to the duty of its machine.
  */
-final class SampleRun {
+final class SampleProgress {
     /** Where a sample stands. */
     enum State {
         WAITING,
@@ -24,16 +24,16 @@
         FINISHED
     }
 
-    final StepRun mStep;
+    final StepProgress mStep;
     final SampleSpec mSpec;
     final int mRank;
     final List<String> mEvents = new ArrayList<>();
     final List<Integer> mVersions = new ArrayList<>();
     State mState = State.WAITING;
-    boolean mTextWhole;
-    long mRun;
+    boolean mTextComplete;
+    long mRunId;
     @Nullable Endpoint mEndpoint;
-    @Nullable String mAvoid;
+    @Nullable String mLastEndpointId;
     long mStartedAt;
     long mLastEventAt;
     int mRunVersion;
@@ -42,27 +42,27 @@
     int mScoreErrors;
     long mNotBefore;
 
-    SampleRun(StepRun step, SampleSpec spec, int rank) {
+    SampleProgress(StepProgress step, SampleSpec spec, int rank) {
         mStep = step;
         mSpec = spec;
         mRank = rank;
     }
 
-    void dropText() {
+    void discardText() {
         mEvents.clear();
         mVersions.clear();
-        mTextWhole = false;
+        mTextComplete = false;
     }
 
-    void restore(PartialText partial) {
-        dropText();
+    void restore(SampleCheckpoint partial) {
+        discardText();
         mEvents.addAll(partial.events());
         mVersions.addAll(partial.versions());
-        mTextWhole = partial.complete();
+        mTextComplete = partial.complete();
     }
 
-    PartialText partial() {
-        return new PartialText(mSpec.id(), mEvents, mVersions, mTextWhole);
+    SampleCheckpoint checkpoint() {
+        return new SampleCheckpoint(mSpec.id(), mEvents, mVersions, mTextComplete);
     }
 
     List<Integer> distinctVersions() {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleResult.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleResult.java
@@ -19,7 +19,7 @@
     }
 
     /** Creates the result of a sample that was given up. */
-    public static SampleResult givenUp(String id) {
+    public static SampleResult abandoned(String id) {
         return new SampleResult(id, false, "", List.of(), "");
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleScheduler.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleScheduler.java
@@ -33,7 +33,7 @@
     private static final long LATE_NANOS = Nanos.ofMillis(3_000);
 
     /** The step and the service for which a sample needs an endpoint. */
-    record Demand(StepRun step, ServiceName service) {}
+    record PlacementKey(StepProgress step, ServiceName service) {}
 
     /** The endpoints of one service in one round, and the best pace among them. */
     private record Pool(List<Endpoint> endpoints, double bestPace) {}
@@ -55,8 +55,8 @@
     }
 
     /** Returns for what a sample needs an endpoint. */
-    static Demand demand(SampleRun sample) {
-        return new Demand(sample.mStep, service(sample));
+    static PlacementKey placementKey(SampleProgress sample) {
+        return new PlacementKey(sample.mStep, service(sample));
     }
 
     /** Begins a round of decisions, in which no endpoint comes, goes or changes its pace. */
@@ -65,13 +65,13 @@
     }
 
     /** Returns the endpoint at which a sample should run now, if one has room. */
-    Optional<Endpoint> choose(SampleRun sample, long now) {
+    Optional<Endpoint> choose(SampleProgress sample, long now) {
         Pool pool = pool(sample, now);
         double best = pool.bestPace();
         Endpoint choice = null;
         double least = Double.MAX_VALUE;
         for (Endpoint endpoint : pool.endpoints()) {
-            boolean full = endpoint.active() >= mPlacement.room(endpoint, best);
+            boolean full = endpoint.active() >= mPlacement.concurrencyLimit(endpoint, best);
             if (full || !isFit(endpoint, sample, now)) {
                 continue;
             }
@@ -89,7 +89,7 @@
      * try it again: records lag behind by a heartbeat, while an endpoint that still has the old
      * version refuses at once.
      */
-    Optional<Endpoint> chooseOutdated(SampleRun sample, long now) {
+    Optional<Endpoint> chooseOutdated(SampleProgress sample, long now) {
         StepSpec step = sample.mStep.mSpec;
         if (step.model().isEmpty()) {
             return Optional.empty();
@@ -110,7 +110,7 @@
         mPlacement.onSent(endpoint);
     }
 
-    private Pool pool(SampleRun sample, long now) {
+    private Pool pool(SampleProgress sample, long now) {
         return mPools.computeIfAbsent(
                 service(sample),
                 service -> {
@@ -119,7 +119,7 @@
                 });
     }
 
-    private static ServiceName service(SampleRun sample) {
+    private static ServiceName service(SampleProgress sample) {
         List<WeightedService> services = sample.mStep.mRoute.services();
         ServiceName service = services.get(0).service();
         if (services.size() > 1) {
@@ -129,7 +129,7 @@
         return service;
     }
 
-    private static boolean isFit(Endpoint endpoint, SampleRun sample, long now) {
+    private static boolean isFit(Endpoint endpoint, SampleProgress sample, long now) {
         StepSpec step = sample.mStep.mSpec;
         boolean fresh =
                 step.model().isEmpty() || endpoint.version(step.model()) >= step.minVersion();
@@ -153,9 +153,9 @@
     }
 
     /** Returns why a running sample should move to another endpoint; empty if it should stay. */
-    String reasonToMove(SampleRun sample, long now) {
+    String migrationReason(SampleProgress sample, long now) {
         Endpoint endpoint = sample.mEndpoint;
-        if (sample.mState != SampleRun.State.RUNNING || endpoint == null) {
+        if (sample.mState != SampleProgress.State.RUNNING || endpoint == null) {
             return "";
         }
         long silent = now - sample.mLastEventAt;
@@ -180,15 +180,17 @@
             return "";
         }
         for (Endpoint other : pool.endpoints()) {
-            boolean room = other.active() < mPlacement.room(other, best);
-            if (PaceShares.isFast(other, best) && isFit(other, sample, now) && room) {
+            boolean room = other.active() < mPlacement.concurrencyLimit(other, best);
+            if (SpeedProportionalPlacement.isFast(other, best)
+                    && isFit(other, sample, now)
+                    && room) {
                 return "endpoint is slow: " + Nanos.toMillis((long) endpoint.paceNanos()) + " ms";
             }
         }
         return "";
     }
 
-    private boolean isElsewhereIdle(SampleRun sample, long now) {
+    private boolean isElsewhereIdle(SampleProgress sample, long now) {
         for (Endpoint other : pool(sample, now).endpoints()) {
             boolean idle = 2 * other.active() < other.record().slots();
             if (other != sample.mEndpoint && idle && isFit(other, sample, now)) {
@@ -199,8 +201,8 @@
     }
 
     /** Returns the priority of a sample at its endpoint. */
-    int urgency(SampleRun sample, long now) {
-        if (sample.mRank == GroupOrder.SPARE) {
+    int priority(SampleProgress sample, long now) {
+        if (sample.mRank == GroupRanking.SURPLUS) {
             return URGENCY_SPARE;
         }
         return sample.mStep.mDueAt - now < LATE_NANOS ? URGENCY_LATE : URGENCY_WANTED;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/ScoreEnd.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/ScoreOutcome.java
@@ -1,7 +1,7 @@
 package org.ebonyrun.core.step;
 
 /** How one try to score a sample ended. */
-public enum ScoreEnd {
+public enum ScoreOutcome {
     /** The service answered with success. */
     SCORED,
     /** The service ran the call and failed. */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/PaceShares.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SpeedProportionalPlacement.java
@@ -8,7 +8,7 @@
  * <p>Answers the load of a pool in which some endpoints are several times slower than others.
  * Immutable and thread safe.
  */
-final class PaceShares implements SamplePlacement {
+final class SpeedProportionalPlacement implements SamplePlacement {
     // How much slower than the best pace still earns all slots.
     private static final double TOLERANCE = 1.3;
 
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public int room(Endpoint endpoint, double bestPace) {
+    public int concurrencyLimit(Endpoint endpoint, double bestPace) {
         int slots = endpoint.record().slots();
         if (endpoint.paceNanos() == 0 || bestPace == 0) {
             return slots;
@@ -28,9 +28,9 @@
     }
 
     @Override
-    public double cost(Endpoint endpoint, SampleRun sample, double bestPace) {
+    public double cost(Endpoint endpoint, SampleProgress sample, double bestPace) {
         double pace = endpoint.paceNanos() == 0 ? 1 : endpoint.paceNanos() / Math.max(1, bestPace);
         double cost = (endpoint.active() + 1.0) / endpoint.record().slots() * Math.max(1, pace);
-        return endpoint.id().equals(sample.mAvoid) ? cost + 1 : cost;
+        return endpoint.id().equals(sample.mLastEndpointId) ? cost + 1 : cost;
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepMachine.java
@@ -14,7 +14,7 @@
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.core.policy.Policy;
 import org.ebonyrun.core.route.Route;
-import org.ebonyrun.core.step.SampleRun.State;
+import org.ebonyrun.core.step.SampleProgress.State;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -47,8 +47,8 @@
     private final SampleScheduler mScheduler;
     private final long mStoreAgeNanos;
     private final boolean mTriesOutdated;
-    private final Map<StepId, StepRun> mSteps = new LinkedHashMap<>();
-    private final Map<Long, SampleRun> mRuns = new HashMap<>();
+    private final Map<StepId, StepProgress> mSteps = new LinkedHashMap<>();
+    private final Map<Long, SampleProgress> mRuns = new HashMap<>();
     private long mRunCount;
     private final Map<String, Integer> mNamed = new HashMap<>();
 
@@ -61,20 +61,20 @@
         mFleet = fleet;
         mOrder = order;
         mOutputs = outputs;
-        mScheduler = new SampleScheduler(fleet, placement, policy.uses(Mechanism.MOVES));
-        mStoreAgeNanos = policy.uses(Mechanism.LISTING_DELAY) ? STORE_AGE_NANOS : 0;
-        mTriesOutdated = policy.uses(Mechanism.TRY_OUTDATED);
+        mScheduler = new SampleScheduler(fleet, placement, policy.isEnabled(Mechanism.MOVES));
+        mStoreAgeNanos = policy.isEnabled(Mechanism.LISTING_DELAY) ? STORE_AGE_NANOS : 0;
+        mTriesOutdated = policy.isEnabled(Mechanism.TRY_OUTDATED);
     }
 
     /** Creates a machine that owns no step. */
     public static StepMachine create(Fleet fleet, Policy policy, StepOutputs outputs) {
         SampleOrder order =
-                policy.uses(Mechanism.SAMPLE_ORDER)
-                        ? new WantedGroupsFirst()
-                        : new ArrivalSampleOrder();
+                policy.isEnabled(Mechanism.SAMPLE_ORDER)
+                        ? new WantedGroupsFirstSampleOrder()
+                        : new FifoSampleOrder();
         SamplePlacement placement =
-                policy.uses(Mechanism.SAMPLE_PLACEMENT)
-                        ? new PaceShares()
+                policy.isEnabled(Mechanism.SAMPLE_PLACEMENT)
+                        ? new SpeedProportionalPlacement()
                         : new RoundRobinPlacement();
         return new StepMachine(fleet, order, placement, policy, outputs);
     }
@@ -86,24 +86,24 @@
     }
 
     /** Returns the number of steps that are owned and not finished. */
-    public int size() {
+    public int stepCount() {
         return mSteps.size();
     }
 
     /** Returns the ids of the steps that are owned and not finished. */
-    public List<StepId> steps() {
+    public List<StepId> stepIds() {
         return List.copyOf(mSteps.keySet());
     }
 
     /** Returns the results that are listed of an owned step; null if it is not owned. */
-    public @Nullable List<SampleResult> listed(StepId id) {
-        StepRun step = mSteps.get(id);
+    public @Nullable List<SampleResult> listedResults(StepId id) {
+        StepProgress step = mSteps.get(id);
         return step == null ? null : List.copyOf(step.mListed);
     }
 
     /** Returns an owned step; null if it is not owned. */
     public @Nullable StepSpec spec(StepId id) {
-        StepRun step = mSteps.get(id);
+        StepProgress step = mSteps.get(id);
         return step == null ? null : step.mSpec;
     }
 
@@ -114,28 +114,28 @@
      * @param partial texts that an earlier owner, or an earlier step, left
      * @param ageMillis how long ago the step was submitted, in milliseconds
      */
-    public void onOwned(
+    public void onStepAcquired(
             StepSpec spec,
             Route route,
             List<SampleResult> listed,
-            List<PartialText> partial,
+            List<SampleCheckpoint> partial,
             long ageMillis,
             long now) {
         if (mSteps.containsKey(spec.id())) {
             return;
         }
         long submittedAt = now - Nanos.ofMillis(Math.max(0, ageMillis));
-        StepRun step =
-                new StepRun(
+        StepProgress step =
+                new StepProgress(
                         spec,
                         route,
                         submittedAt + Nanos.ofMillis(route.step().dueMillis()),
                         submittedAt
-                                + Nanos.ofMillis(route.step().giveUpMillis())
+                                + Nanos.ofMillis(route.step().abandonMillis())
                                 + GIVE_UP_SLACK_NANOS);
         step.restore(listed);
-        for (PartialText text : partial) {
-            SampleRun sample = step.mSamples.get(text.id());
+        for (SampleCheckpoint text : partial) {
+            SampleProgress sample = step.mSamples.get(text.id());
             if (sample != null && sample.mState == State.WAITING) {
                 sample.restore(text);
             }
@@ -145,7 +145,7 @@
     }
 
     /** Notes that a trainer named a weight version. */
-    public void onNamed(String model, int version) {
+    public void onVersionNamed(String model, int version) {
         mNamed.merge(model, version, Math::max);
     }
 
@@ -154,33 +154,36 @@
      *
      * @return the texts that are not listed, for the case that the trainer asks for them again
      */
-    public List<PartialText> onEnded(StepId id) {
-        List<PartialText> texts = new ArrayList<>(unfinished(id, 1));
-        StepRun step = mSteps.remove(id);
+    public List<SampleCheckpoint> onStepEnded(StepId id) {
+        List<SampleCheckpoint> texts = new ArrayList<>(checkpoints(id, 1));
+        StepProgress step = mSteps.remove(id);
         if (step == null) {
             return texts;
         }
-        step.unlisted().filter(SampleResult::done).map(PartialText::whole).forEach(texts::add);
+        step.unlistedResults()
+                .filter(SampleResult::done)
+                .map(SampleCheckpoint::ofResult)
+                .forEach(texts::add);
         stop(step, "the trainer ended the step");
         return texts;
     }
 
     /** Stops a step that another process owns now. */
-    public void onLost(StepId id) {
-        StepRun step = mSteps.remove(id);
+    public void onOwnershipLost(StepId id) {
+        StepProgress step = mSteps.remove(id);
         if (step != null) {
             stop(step, "another process owns the step");
         }
     }
 
-    private void stop(StepRun step, String reason) {
+    private void stop(StepProgress step, String reason) {
         step.mEnded = true;
-        for (SampleRun sample : step.mSamples.values()) {
+        for (SampleProgress sample : step.mSamples.values()) {
             if (sample.mState == State.RUNNING) {
-                mOutputs.cancelRun(sample.mRun, reason);
+                mOutputs.cancelRun(sample.mRunId, reason);
                 release(sample);
             }
-            mRuns.remove(sample.mRun);
+            mRuns.remove(sample.mRunId);
             sample.mState = State.FINISHED;
         }
     }
@@ -190,36 +193,36 @@
      *
      * @param leastEvents how many events a text must have
      */
-    public List<PartialText> unfinished(StepId id, int leastEvents) {
-        StepRun step = mSteps.get(id);
-        List<PartialText> texts = new ArrayList<>();
+    public List<SampleCheckpoint> checkpoints(StepId id, int leastEvents) {
+        StepProgress step = mSteps.get(id);
+        List<SampleCheckpoint> texts = new ArrayList<>();
         if (step == null) {
             return texts;
         }
-        for (SampleRun sample : step.mSamples.values()) {
+        for (SampleProgress sample : step.mSamples.values()) {
             boolean worth = sample.mEvents.size() >= leastEvents;
             if (sample.mState != State.FINISHED && worth) {
-                texts.add(sample.partial());
+                texts.add(sample.checkpoint());
             }
         }
         return texts;
     }
 
     /** Stops all runs of a step and returns the texts of its unfinished samples. */
-    public List<PartialText> handOver(StepId id) {
-        List<PartialText> texts = unfinished(id, 1);
-        onLost(id);
+    public List<SampleCheckpoint> handOver(StepId id) {
+        List<SampleCheckpoint> texts = checkpoints(id, 1);
+        onOwnershipLost(id);
         return texts;
     }
 
     /** Returns how many samples run at endpoints. */
-    public int running() {
+    public int runningSamples() {
         return (int) mRuns.values().stream().filter(s -> s.mState == State.RUNNING).count();
     }
 
     /** Notes that an endpoint began to answer a run, and under which weight version. */
-    public void onRunBegun(long run, int version, long now) {
-        SampleRun sample = mRuns.get(run);
+    public void onStreamStart(long run, int version, long now) {
+        SampleProgress sample = mRuns.get(run);
         if (sample == null || sample.mState != State.RUNNING || sample.mEndpoint == null) {
             return;
         }
@@ -234,10 +237,10 @@
     }
 
     /** Returns whether the version may add to the sample's text; stops the run if not. */
-    private boolean checkVersion(SampleRun sample, int version, long now) {
-        StepRun step = sample.mStep;
+    private boolean checkVersion(SampleProgress sample, int version, long now) {
+        StepProgress step = sample.mStep;
         if (version < step.mSpec.minVersion()) {
-            mOutputs.cancelRun(sample.mRun, "weight version " + version + " is below the bound");
+            mOutputs.cancelRun(sample.mRunId, "weight version " + version + " is below the bound");
             requeue(sample, now, NOT_RUN_NANOS);
             return false;
         }
@@ -246,8 +249,8 @@
                         && !sample.mVersions.isEmpty()
                         && sample.mVersions.get(0) != version;
         if (mixes) {
-            mOutputs.cancelRun(sample.mRun, "the weight version changed");
-            sample.dropText();
+            mOutputs.cancelRun(sample.mRunId, "the weight version changed");
+            sample.discardText();
             requeue(sample, now, 0);
             return false;
         }
@@ -261,7 +264,7 @@
      * @param version the weight version that it states; zero if it states none
      */
     public void onEvent(long run, int number, String data, int version, long now) {
-        SampleRun sample = mRuns.get(run);
+        SampleProgress sample = mRuns.get(run);
         if (sample == null || sample.mState != State.RUNNING || sample.mEndpoint == null) {
             return;
         }
@@ -289,8 +292,8 @@
     }
 
     /** Notes the end of a run. */
-    public void onRunEnd(long run, RunEnd end, long now) {
-        SampleRun sample = mRuns.get(run);
+    public void onRunEnd(long run, RunOutcome end, long now) {
+        SampleProgress sample = mRuns.get(run);
         if (sample == null || sample.mState != State.RUNNING || sample.mEndpoint == null) {
             return;
         }
@@ -329,38 +332,38 @@
         dispatch(now);
     }
 
-    private void giveUpOrRetry(SampleRun sample, int allowed, long now) {
+    private void giveUpOrRetry(SampleProgress sample, int allowed, long now) {
         if (sample.mFailures < allowed) {
             requeue(sample, now, BROKEN_NANOS);
             return;
         }
         release(sample);
-        mRuns.remove(sample.mRun);
-        finish(sample, SampleResult.givenUp(sample.mSpec.id()), now);
+        mRuns.remove(sample.mRunId);
+        finish(sample, SampleResult.abandoned(sample.mSpec.id()), now);
     }
 
-    private void onTextWhole(SampleRun sample, long now) {
+    private void onTextWhole(SampleProgress sample, long now) {
         release(sample);
-        sample.mTextWhole = true;
+        sample.mTextComplete = true;
         scoreOrFinish(sample, now);
     }
 
     /** Has a whole text scored; a sample without a score is finished with its text. */
-    private void scoreOrFinish(SampleRun sample, long now) {
+    private void scoreOrFinish(SampleProgress sample, long now) {
         if (sample.mSpec.score() == null) {
-            mRuns.remove(sample.mRun);
+            mRuns.remove(sample.mRunId);
             finish(sample, done(sample, ""), now);
         } else {
             startScore(sample);
         }
     }
 
-    private void startScore(SampleRun sample) {
+    private void startScore(SampleProgress sample) {
         sample.mState = State.SCORING;
-        mRuns.remove(sample.mRun);
-        sample.mRun = ++mRunCount;
-        mRuns.put(sample.mRun, sample);
-        mOutputs.score(sample.mRun, sample.mStep.mSpec, sample.mSpec);
+        mRuns.remove(sample.mRunId);
+        sample.mRunId = ++mRunCount;
+        mRuns.put(sample.mRunId, sample);
+        mOutputs.startScoring(sample.mRunId, sample.mStep.mSpec, sample.mSpec);
     }
 
     /**
@@ -371,49 +374,49 @@
      * @param allowed after how many such errors the sample is given up
      */
     public void onScoreEnd(
-            long run, ScoreEnd end, String score, int errors, int allowed, long now) {
-        SampleRun sample = mRuns.remove(run);
+            long run, ScoreOutcome end, String score, int errors, int allowed, long now) {
+        SampleProgress sample = mRuns.remove(run);
         if (sample == null || sample.mState != State.SCORING) {
             return;
         }
-        if (end == ScoreEnd.SCORED) {
+        if (end == ScoreOutcome.SCORED) {
             finish(sample, done(sample, score), now);
             return;
         }
         sample.mScoreErrors += errors;
         if (sample.mScoreErrors >= allowed) {
-            finish(sample, SampleResult.givenUp(sample.mSpec.id()), now);
+            finish(sample, SampleResult.abandoned(sample.mSpec.id()), now);
             return;
         }
         sample.mState = State.WAITING;
         sample.mNotBefore = now + SCORE_RETRY_NANOS;
     }
 
-    private static SampleResult done(SampleRun sample, String score) {
+    private static SampleResult done(SampleProgress sample, String score) {
         String text = String.join("\n", sample.mEvents);
         return new SampleResult(sample.mSpec.id(), true, text, sample.distinctVersions(), score);
     }
 
-    private void finish(SampleRun sample, SampleResult result, long now) {
-        StepRun step = sample.mStep;
-        boolean wasWanted = step.isWanted();
+    private void finish(SampleProgress sample, SampleResult result, long now) {
+        StepProgress step = sample.mStep;
+        boolean wasWanted = step.needsMoreGroups();
         step.finish(sample, result, now);
-        boolean satisfied = wasWanted && !step.isWanted();
-        store(step, now, satisfied || step.isAllFinished());
+        boolean satisfied = wasWanted && !step.needsMoreGroups();
+        store(step, now, satisfied || step.areAllFinished());
     }
 
-    private void store(StepRun step, long now, boolean atOnce) {
+    private void store(StepProgress step, long now, boolean atOnce) {
         if (step.mEnded || !step.mStoring.isEmpty() || step.mFinished.isEmpty()) {
             return;
         }
         boolean old = now - step.mFinishedSince >= mStoreAgeNanos;
-        if (!atOnce && !old && !step.isAllFinished() && bytes(step.mFinished) < STORE_BYTES) {
+        if (!atOnce && !old && !step.areAllFinished() && bytes(step.mFinished) < STORE_BYTES) {
             return;
         }
         step.mStoring = List.copyOf(step.mFinished);
         step.mFinished.clear();
-        boolean last = step.isAllFinished();
-        mOutputs.store(step.mSpec.id(), step.mListed.size(), step.mStoring, last);
+        boolean last = step.areAllFinished();
+        mOutputs.storeResults(step.mSpec.id(), step.mListed.size(), step.mStoring, last);
     }
 
     private static int bytes(List<SampleResult> results) {
@@ -421,66 +424,66 @@
     }
 
     /** Notes that the store has acknowledged the results that were being stored. */
-    public void onStored(StepId id, long now) {
-        StepRun step = mSteps.get(id);
+    public void onResultsStored(StepId id, long now) {
+        StepProgress step = mSteps.get(id);
         if (step == null || step.mStoring.isEmpty()) {
             return;
         }
         step.mListed.addAll(step.mStoring);
         step.mStoring = List.of();
-        mOutputs.listed(id);
+        mOutputs.onResultsListed(id);
         if (step.isComplete()) {
             mSteps.remove(id);
             return;
         }
-        store(step, now, !step.isWanted() && step.isAllFinished());
+        store(step, now, !step.needsMoreGroups() && step.areAllFinished());
     }
 
     /** Moves samples off slow endpoints, starts runs, stores results and gives samples up. */
     public void onTick(long now) {
         mFleet.onTick(now);
-        for (StepRun step : List.copyOf(mSteps.values())) {
+        for (StepProgress step : List.copyOf(mSteps.values())) {
             store(step, now, false);
             giveUpExpired(step, now);
         }
         mScheduler.beginRound();
-        for (SampleRun sample : List.copyOf(mRuns.values())) {
-            String reason = mScheduler.reasonToMove(sample, now);
+        for (SampleProgress sample : List.copyOf(mRuns.values())) {
+            String reason = mScheduler.migrationReason(sample, now);
             if (!reason.isEmpty()) {
-                mOutputs.cancelRun(sample.mRun, reason);
+                mOutputs.cancelRun(sample.mRunId, reason);
                 requeue(sample, now, 0);
             }
         }
         dispatch(now);
     }
 
-    private void giveUpExpired(StepRun step, long now) {
-        if (now - step.mGiveUpAt < 0) {
+    private void giveUpExpired(StepProgress step, long now) {
+        if (now - step.mAbandonAt < 0) {
             return;
         }
-        for (SampleRun sample : step.mSamples.values()) {
+        for (SampleProgress sample : step.mSamples.values()) {
             if (sample.mState == State.RUNNING) {
-                mOutputs.cancelRun(sample.mRun, "the sample is given up");
+                mOutputs.cancelRun(sample.mRunId, "the sample is given up");
                 release(sample);
             }
             if (sample.mState != State.FINISHED) {
-                mRuns.remove(sample.mRun);
-                finish(sample, SampleResult.givenUp(sample.mSpec.id()), now);
+                mRuns.remove(sample.mRunId);
+                finish(sample, SampleResult.abandoned(sample.mSpec.id()), now);
             }
         }
     }
 
-    private void requeue(SampleRun sample, long now, long delayNanos) {
+    private void requeue(SampleProgress sample, long now, long delayNanos) {
         if (sample.mEndpoint != null) {
-            sample.mAvoid = sample.mEndpoint.id();
+            sample.mLastEndpointId = sample.mEndpoint.id();
         }
         release(sample);
-        mRuns.remove(sample.mRun);
+        mRuns.remove(sample.mRunId);
         sample.mState = State.WAITING;
         sample.mNotBefore = now + delayNanos;
     }
 
-    private static void release(SampleRun sample) {
+    private static void release(SampleProgress sample) {
         if (sample.mEndpoint != null) {
             sample.mEndpoint.onEnded();
             sample.mEndpoint = null;
@@ -489,13 +492,13 @@
 
     private void dispatch(long now) {
         mScheduler.beginRound();
-        Set<SampleScheduler.Demand> unmet = new HashSet<>();
-        for (SampleRun sample : waiting(now)) {
-            if (sample.mTextWhole) {
+        Set<SampleScheduler.PlacementKey> unmet = new HashSet<>();
+        for (SampleProgress sample : waiting(now)) {
+            if (sample.mTextComplete) {
                 scoreOrFinish(sample, now);
                 continue;
             }
-            SampleScheduler.Demand demand = SampleScheduler.demand(sample);
+            SampleScheduler.PlacementKey demand = SampleScheduler.placementKey(sample);
             boolean placed = !unmet.contains(demand) && place(sample, now);
             // Samples without text differ in nothing that decides whether they fit.
             if (!placed && sample.mEvents.isEmpty()) {
@@ -505,7 +508,7 @@
     }
 
     /** Starts a sample; returns whether there was an endpoint for it. */
-    private boolean place(SampleRun sample, long now) {
+    private boolean place(SampleProgress sample, long now) {
         Optional<Endpoint> fit = mScheduler.choose(sample, now);
         if (fit.isPresent()) {
             start(sample, fit.get(), 0, now);
@@ -514,10 +517,10 @@
         return tryNamedVersion(sample, now);
     }
 
-    private List<SampleRun> waiting(long now) {
-        List<SampleRun> waiting = new ArrayList<>();
-        for (StepRun step : mSteps.values()) {
-            for (SampleRun sample : step.mSamples.values()) {
+    private List<SampleProgress> waiting(long now) {
+        List<SampleProgress> waiting = new ArrayList<>();
+        for (StepProgress step : mSteps.values()) {
+            for (SampleProgress sample : step.mSamples.values()) {
                 if (sample.mState == State.WAITING && now - sample.mNotBefore >= 0) {
                     waiting.add(sample);
                 }
@@ -528,7 +531,7 @@
     }
 
     /** Tries an endpoint that may have loaded the named version since its last record. */
-    private boolean tryNamedVersion(SampleRun sample, long now) {
+    private boolean tryNamedVersion(SampleProgress sample, long now) {
         StepSpec spec = sample.mStep.mSpec;
         int named = mNamed.getOrDefault(spec.model(), 0);
         if (!mTriesOutdated || named < spec.minVersion() || named == 0) {
@@ -539,8 +542,8 @@
         return outdated.isPresent();
     }
 
-    private void start(SampleRun sample, Endpoint endpoint, int expectedVersion, long now) {
-        sample.mRun = ++mRunCount;
+    private void start(SampleProgress sample, Endpoint endpoint, int expectedVersion, long now) {
+        sample.mRunId = ++mRunCount;
         sample.mState = State.RUNNING;
         sample.mEndpoint = endpoint;
         sample.mStartedAt = now;
@@ -548,14 +551,14 @@
         sample.mRunVersion = 0;
         sample.mRunEvents = 0;
         mScheduler.onSent(endpoint);
-        mRuns.put(sample.mRun, sample);
-        int urgency = mScheduler.urgency(sample, now);
+        mRuns.put(sample.mRunId, sample);
+        int urgency = mScheduler.priority(sample, now);
         mOutputs.startRun(
-                sample.mRun,
+                sample.mRunId,
                 sample.mStep.mSpec,
                 sample.mSpec,
                 endpoint,
                 sample.mEvents.size(),
-                new RunTerms(urgency, expectedVersion));
+                new RunOptions(urgency, expectedVersion));
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepOutputs.java
@@ -18,20 +18,20 @@
             SampleSpec sample,
             Endpoint endpoint,
             int lastEvent,
-            RunTerms terms);
+            RunOptions terms);
 
     /** Closes the connection of a run whose stream is not needed any more. */
     void cancelRun(long run, String reason);
 
     /** Sends the call that scores a sample. */
-    void score(long run, StepSpec step, SampleSpec sample);
+    void startScoring(long run, StepSpec step, SampleSpec sample);
 
     /**
      * Stores results from a position on. Only one call for each step is open at a time; it ends
-     * with {@link StepMachine#onStored} or {@link StepMachine#onLost}.
+     * with {@link StepMachine#onResultsStored} or {@link StepMachine#onOwnershipLost}.
      */
-    void store(StepId step, int position, List<SampleResult> results, boolean last);
+    void storeResults(StepId step, int position, List<SampleResult> results, boolean last);
 
     /** Notes that results are listed now. */
-    void listed(StepId step);
+    void onResultsListed(StepId step);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepRun.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepProgress.java
@@ -19,12 +19,12 @@
  *
  * <p>Not thread safe; confined to the duty of its machine.
  */
-final class StepRun {
+final class StepProgress {
     final StepSpec mSpec;
     final Route mRoute;
     final long mDueAt;
-    final long mGiveUpAt;
-    final Map<String, SampleRun> mSamples = new LinkedHashMap<>();
+    final long mAbandonAt;
+    final Map<String, SampleProgress> mSamples = new LinkedHashMap<>();
     final List<SampleResult> mListed = new ArrayList<>();
     final List<SampleResult> mFinished = new ArrayList<>();
     List<SampleResult> mStoring = List.of();
@@ -33,14 +33,14 @@
     private final Map<String, Integer> mMissing = new HashMap<>();
     private int mWholeGroups;
 
-    StepRun(StepSpec spec, Route route, long dueAt, long giveUpAt) {
+    StepProgress(StepSpec spec, Route route, long dueAt, long giveUpAt) {
         mSpec = spec;
         mRoute = route;
         mDueAt = dueAt;
-        mGiveUpAt = giveUpAt;
-        Map<String, Integer> ranks = GroupOrder.ranks(spec);
+        mAbandonAt = giveUpAt;
+        Map<String, Integer> ranks = GroupRanking.rankGroups(spec);
         for (SampleSpec sample : spec.samples()) {
-            mSamples.put(sample.id(), new SampleRun(this, sample, ranks.get(sample.group())));
+            mSamples.put(sample.id(), new SampleProgress(this, sample, ranks.get(sample.group())));
             mMissing.merge(sample.group(), 1, Integer::sum);
         }
     }
@@ -49,23 +49,23 @@
         return mListed.size() == mSamples.size();
     }
 
-    boolean isAllFinished() {
+    boolean areAllFinished() {
         return mListed.size() + mStoring.size() + mFinished.size() == mSamples.size();
     }
 
     /** Returns the results that are not listed yet. */
-    Stream<SampleResult> unlisted() {
+    Stream<SampleResult> unlistedResults() {
         return Stream.concat(mStoring.stream(), mFinished.stream());
     }
 
     /** Returns whether the trainer still waits for groups. */
-    boolean isWanted() {
+    boolean needsMoreGroups() {
         return mWholeGroups < mSpec.wantedGroups();
     }
 
     /** Notes that a sample is finished; returns whether its group is whole now. */
-    boolean finish(SampleRun sample, SampleResult result, long now) {
-        sample.mState = SampleRun.State.FINISHED;
+    boolean finish(SampleProgress sample, SampleResult result, long now) {
+        sample.mState = SampleProgress.State.FINISHED;
         sample.mEvents.clear();
         if (mFinished.isEmpty()) {
             mFinishedSince = now;
@@ -86,10 +86,10 @@
     void restore(List<SampleResult> listed) {
         Set<String> seen = new HashSet<>();
         for (SampleResult result : listed) {
-            SampleRun sample = mSamples.get(result.id());
+            SampleProgress sample = mSamples.get(result.id());
             mListed.add(result);
             if (sample != null && seen.add(result.id())) {
-                sample.mState = SampleRun.State.FINISHED;
+                sample.mState = SampleProgress.State.FINISHED;
                 countDown(sample.mSpec.group());
             }
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/SwapMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/SwapMachine.java
@@ -89,9 +89,9 @@
 
     private SwapMachine(Fleet fleet, Policy policy, SwapOutputs outputs) {
         mFleet = fleet;
-        mPools = policy.uses(Mechanism.LOAD_POOLS);
+        mPools = policy.isEnabled(Mechanism.LOAD_POOLS);
         mLoadingShare =
-                policy.uses(Mechanism.LOAD_LIMIT) ? LOADING_SHARE : Double.POSITIVE_INFINITY;
+                policy.isEnabled(Mechanism.LOAD_LIMIT) ? LOADING_SHARE : Double.POSITIVE_INFINITY;
         mOutputs = outputs;
     }
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/VirtualClock.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/VirtualClock.java
@@ -22,17 +22,17 @@
     }
 
     /** Runs a task at a time, or now if that has passed. */
-    public void at(long time, LongConsumer action) {
+    public void schedule(long time, LongConsumer action) {
         mTasks.add(new Task(Math.max(time, mNow), mCount++, action));
     }
 
     /** Runs a task again and again. */
-    public void every(long period, LongConsumer action) {
-        at(
+    public void scheduleEvery(long period, LongConsumer action) {
+        schedule(
                 mNow + period,
                 now -> {
                     action.accept(now);
-                    every(period, action);
+                    scheduleEvery(period, action);
                 });
     }
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallMachineTest.java
@@ -18,10 +18,10 @@
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.core.policy.Policy;
-import org.ebonyrun.core.route.CallTerms;
+import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
 import org.ebonyrun.core.route.RouteKind;
-import org.ebonyrun.core.route.StepTerms;
+import org.ebonyrun.core.route.StepOptions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -40,7 +40,8 @@
     }
 
     private static Route route(RouteKind kind, int priority) {
-        return Endpoints.route(kind, new CallTerms(800, 150, ATTEMPTS, priority), StepTerms.NONE);
+        return Endpoints.route(
+                kind, new CallOptions(800, 150, ATTEMPTS, priority), StepOptions.NONE);
     }
 
     private static CallSpec call(long id, RouteKind kind, boolean background, long now) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/call/ServiceLoad.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/call/ServiceLoad.java
@@ -12,10 +12,10 @@
 import org.ebonyrun.core.fleet.Endpoint;
 import org.ebonyrun.core.fleet.Endpoints;
 import org.ebonyrun.core.fleet.Fleet;
-import org.ebonyrun.core.route.CallTerms;
+import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
 import org.ebonyrun.core.route.RouteKind;
-import org.ebonyrun.core.route.StepTerms;
+import org.ebonyrun.core.route.StepOptions;
 
 /**
  * People's lookups and bursts of background scores at one service, in virtual time.
@@ -64,9 +64,9 @@
             mSlowness.put("e" + i, slowness.get(i));
             mFleet.onRecord(Endpoints.record("e" + i, 6, 1));
         }
-        mClock.every(TICK_NANOS, mMachine::onTick);
-        mClock.every(BURST_NANOS, this::burst);
-        mClock.at(0, this::lookup);
+        mClock.scheduleEvery(TICK_NANOS, mMachine::onTick);
+        mClock.scheduleEvery(BURST_NANOS, this::burst);
+        mClock.schedule(0, this::lookup);
     }
 
     /** Plays the load. */
@@ -79,15 +79,15 @@
     private static Route route(int priority) {
         return Endpoints.route(
                 RouteKind.IDEMPOTENT,
-                new CallTerms(3_000, Nanos.toMillis(GOAL_NANOS), 3, priority),
-                StepTerms.NONE);
+                new CallOptions(3_000, Nanos.toMillis(GOAL_NANOS), 3, priority),
+                StepOptions.NONE);
     }
 
     private void lookup(long now) {
         mLookups++;
         arrive(false, LOOKUP_DEADLINE, now);
         double gap = -Math.log(1 - mRandom.nextDouble()) / LOOKUPS_PER_SECOND;
-        mClock.at(now + (long) (gap * Nanos.ofMillis(1_000)), this::lookup);
+        mClock.schedule(now + (long) (gap * Nanos.ofMillis(1_000)), this::lookup);
     }
 
     private void burst(long now) {
@@ -112,7 +112,7 @@
         long work = call.background() ? SCORE_NANOS : LOOKUP_NANOS;
         double spread = 0.5 + mRandom.nextDouble();
         long takes = (long) (work * spread * mSlowness.get(endpoint.id()));
-        mClock.at(
+        mClock.schedule(
                 mClock.now() + takes,
                 now -> {
                     if (mOpen.remove(attempt)) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/fleet/Endpoints.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/fleet/Endpoints.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import org.ebonyrun.base.id.FailureDomain;
 import org.ebonyrun.base.id.ServiceName;
-import org.ebonyrun.core.route.CallTerms;
+import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
 import org.ebonyrun.core.route.RouteKind;
-import org.ebonyrun.core.route.StepTerms;
+import org.ebonyrun.core.route.StepOptions;
 import org.ebonyrun.core.route.WeightedService;
 
 /** Records of endpoints for tests. */
@@ -51,7 +51,7 @@
     }
 
     /** Returns a route to the service of all records here. */
-    public static Route route(RouteKind kind, CallTerms call, StepTerms step) {
+    public static Route route(RouteKind kind, CallOptions call, StepOptions step) {
         return new Route("r", "x", "/", kind, List.of(new WeightedService(SERVICE, 1)), call, step);
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/policy/PolicyTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/policy/PolicyTest.java
@@ -10,14 +10,14 @@
     @ParameterizedTest
     @EnumSource(Mechanism.class)
     void aMechanismIsUsedUnlessItIsLeftOut(Mechanism mechanism) {
-        assertThat(Policy.ALL.uses(mechanism), is(true));
+        assertThat(Policy.ALL.isEnabled(mechanism), is(true));
         Policy policy = Policy.ALL;
         for (Mechanism other : Mechanism.values()) {
             if (other != mechanism) {
                 policy = policy.without(other);
             }
         }
-        assertThat(policy.uses(mechanism), is(true));
-        assertThat(policy.without(mechanism).uses(mechanism), is(false));
+        assertThat(policy.isEnabled(mechanism), is(true));
+        assertThat(policy.without(mechanism).isEnabled(mechanism), is(false));
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/route/RouteTableTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/route/RouteTableTest.java
@@ -23,8 +23,8 @@
                 prefix,
                 RouteKind.IDEMPOTENT,
                 List.of(parts),
-                new CallTerms(1_000, 100, 2, 0),
-                StepTerms.NONE);
+                new CallOptions(1_000, 100, 2, 0),
+                StepOptions.NONE);
     }
 
     private static RouteTable table() {
@@ -59,7 +59,7 @@
         Random random = new Random(1);
         int first = 0;
         for (int i = 0; i < 10_000; i++) {
-            first += split.pick(random).equals(A) ? 1 : 0;
+            first += split.pickService(random).equals(A) ? 1 : 0;
         }
 
         assertThat(Math.abs(first - 9_000) < 200, is(true));
@@ -67,8 +67,8 @@
 
     @Test
     void knowsNothingBeforeTheFirstConfiguration() {
-        assertThat(RouteTable.empty().isKnown(), is(false));
-        assertThat(table().isKnown(), is(true));
+        assertThat(RouteTable.empty().isConfigured(), is(false));
+        assertThat(table().isConfigured(), is(true));
         assertThat(table().isEngine(A), is(true));
         assertThat(table().isEngine(B), is(false));
     }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/CarriedTextsTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/CarriedTextsTest.java
@@ -24,14 +24,14 @@
         return new StepSpec(StepId.of("step"), "x", "/", 5, "m", BOUND, 1, specs);
     }
 
-    private static PartialText text(String id, int... versions) {
+    private static SampleCheckpoint text(String id, int... versions) {
         List<String> events = new ArrayList<>();
         List<Integer> numbers = new ArrayList<>();
         for (int version : versions) {
             numbers.add(version);
             events.add("d" + numbers.size());
         }
-        return new PartialText(id, events, numbers, false);
+        return new SampleCheckpoint(id, events, numbers, false);
     }
 
     @ParameterizedTest
@@ -45,35 +45,37 @@
     })
     void aTextIsUsedOnlyIfTheBoundAllowsEachOfItsVersions(
             int first, int second, boolean singleVersion, boolean used) {
-        PartialText text = text("a", first, second);
-        List<PartialText> fitting =
-                CarriedTexts.fitting(step("a"), singleVersion, List.of(), List.of(text));
+        SampleCheckpoint text = text("a", first, second);
+        List<SampleCheckpoint> fitting =
+                CarriedTexts.selectUsable(step("a"), singleVersion, List.of(), List.of(text));
 
         assertThat(fitting.equals(List.of(text)), is(used));
     }
 
     @Test
     void textsOfOtherSamplesAndEmptyOnesAreLeftOut() {
-        List<PartialText> kept = List.of(text("other", 4), text("a"));
+        List<SampleCheckpoint> kept = List.of(text("other", 4), text("a"));
 
-        assertThat(CarriedTexts.fitting(step("a"), false, List.of(), kept), is(empty()));
+        assertThat(CarriedTexts.selectUsable(step("a"), false, List.of(), kept), is(empty()));
     }
 
     @Test
     void aListedTextGoesBeforeAPartOfItAndIsWhole() {
         SampleResult listed = new SampleResult("a", true, "d1\nd2\nd3", List.of(4, 5), "score");
-        List<PartialText> fitting =
-                CarriedTexts.fitting(step("a"), false, List.of(listed), List.of(text("a", 4)));
+        List<SampleCheckpoint> fitting =
+                CarriedTexts.selectUsable(step("a"), false, List.of(listed), List.of(text("a", 4)));
 
-        PartialText whole = new PartialText("a", List.of("d1", "d2", "d3"), List.of(4, 5, 5), true);
+        SampleCheckpoint whole =
+                new SampleCheckpoint("a", List.of("d1", "d2", "d3"), List.of(4, 5, 5), true);
         assertThat(fitting, contains(whole));
     }
 
     @Test
     void aSampleThatWasGivenUpIsGeneratedAgain() {
-        List<SampleResult> listed = List.of(SampleResult.givenUp("a"));
+        List<SampleResult> listed = List.of(SampleResult.abandoned("a"));
 
-        assertThat(CarriedTexts.fitting(step("a"), false, listed, List.of()), is(empty()));
-        assertThrows(IllegalArgumentException.class, () -> PartialText.whole(listed.get(0)));
+        assertThat(CarriedTexts.selectUsable(step("a"), false, listed, List.of()), is(empty()));
+        assertThrows(
+                IllegalArgumentException.class, () -> SampleCheckpoint.ofResult(listed.get(0)));
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/FakeStepOutputs.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/FakeStepOutputs.java
@@ -9,18 +9,18 @@
 /** Records what a step machine decides. */
 final class FakeStepOutputs implements StepOutputs {
     /** One run. */
-    record Run(long run, String sample, String endpoint, int lastEvent, RunTerms terms) {}
+    record Run(long run, String sample, String endpoint, int lastEvent, RunOptions terms) {}
 
     /** Results that are to be stored. */
     record Store(StepId step, int position, List<SampleResult> results, boolean last) {}
 
     final List<Run> mRuns = new ArrayList<>();
-    final Map<Long, Run> mOpen = new LinkedHashMap<>();
+    final Map<Long, Run> mOpenRuns = new LinkedHashMap<>();
     final Map<Long, String> mScores = new LinkedHashMap<>();
     final List<Store> mStores = new ArrayList<>();
-    final List<String> mReasons = new ArrayList<>();
+    final List<String> mCancelReasons = new ArrayList<>();
 
-    Run last() {
+    Run lastRun() {
         return mRuns.get(mRuns.size() - 1);
     }
 
@@ -31,30 +31,30 @@
             SampleSpec sample,
             Endpoint endpoint,
             int lastEvent,
-            RunTerms terms) {
+            RunOptions terms) {
         Run started = new Run(run, sample.id(), endpoint.id(), lastEvent, terms);
         mRuns.add(started);
-        mOpen.put(run, started);
+        mOpenRuns.put(run, started);
     }
 
     @Override
     public void cancelRun(long run, String reason) {
-        mOpen.remove(run);
-        mReasons.add(reason);
+        mOpenRuns.remove(run);
+        mCancelReasons.add(reason);
     }
 
     @Override
-    public void score(long run, StepSpec step, SampleSpec sample) {
+    public void startScoring(long run, StepSpec step, SampleSpec sample) {
         mScores.put(run, sample.id());
     }
 
     @Override
-    public void store(StepId step, int position, List<SampleResult> results, boolean last) {
+    public void storeResults(StepId step, int position, List<SampleResult> results, boolean last) {
         mStores.add(new Store(step, position, results, last));
     }
 
     @Override
-    public void listed(StepId step) {
+    public void onResultsListed(StepId step) {
         // Tests read the list from the machine.
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/StepMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/StepMachineTest.java
@@ -17,10 +17,10 @@
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.core.policy.Policy;
-import org.ebonyrun.core.route.CallTerms;
+import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
 import org.ebonyrun.core.route.RouteKind;
-import org.ebonyrun.core.route.StepTerms;
+import org.ebonyrun.core.route.StepOptions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -40,8 +40,8 @@
     private static Route route(boolean singleVersion) {
         return Endpoints.route(
                 RouteKind.STEPS,
-                new CallTerms(10_000, 500, 3, 0),
-                new StepTerms(7_500, 40_000, singleVersion));
+                new CallOptions(10_000, 500, 3, 0),
+                new StepOptions(7_500, 40_000, singleVersion));
     }
 
     private static SampleSpec sample(String id, String group, long tokens, boolean scored) {
@@ -54,7 +54,7 @@
     }
 
     private void own(StepSpec spec, boolean singleVersion) {
-        mMachine.onOwned(spec, route(singleVersion), List.of(), List.of(), 0, 0);
+        mMachine.onStepAcquired(spec, route(singleVersion), List.of(), List.of(), 0, 0);
     }
 
     private void leaveOut(Mechanism mechanism) {
@@ -75,11 +75,11 @@
     void aWholeSampleIsScoredStoredAndListed() {
         endpoint("e", 2);
         own(step(1, sample("a", "g", 1, true)), false);
-        mMachine.onRunBegun(1, 2, 0);
+        mMachine.onStreamStart(1, 2, 0);
         events(1, 1, EVENTS, 0);
-        mMachine.onRunEnd(1, RunEnd.COMPLETE, 0);
+        mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
         long score = mOutputs.mScores.keySet().iterator().next();
-        mMachine.onScoreEnd(score, ScoreEnd.SCORED, "stamp", 0, 4, 0);
+        mMachine.onScoreEnd(score, ScoreOutcome.SCORED, "stamp", 0, 4, 0);
 
         FakeStepOutputs.Store store = mOutputs.mStores.get(0);
         assertThat(store.last(), is(true));
@@ -88,9 +88,9 @@
         assertThat(result.text(), is("d1\nd2\nd3"));
         assertThat(result.versions(), contains(2));
         assertThat(result.score(), is("stamp"));
-        assertThat(mMachine.listed(STEP), is(empty()));
-        mMachine.onStored(STEP, 0);
-        assertThat(mMachine.size(), is(0));
+        assertThat(mMachine.listedResults(STEP), is(empty()));
+        mMachine.onResultsStored(STEP, 0);
+        assertThat(mMachine.stepCount(), is(0));
     }
 
     @ParameterizedTest
@@ -98,12 +98,12 @@
     void aSampleIsGivenUpOnceItsScoreHasFailedAsOftenAsAllowed(int errors, int calls) {
         endpoint("e", 2);
         own(step(1, sample("a", "g", 1, true)), false);
-        mMachine.onRunBegun(1, 2, 0);
+        mMachine.onStreamStart(1, 2, 0);
         events(1, 1, EVENTS, 0);
-        mMachine.onRunEnd(1, RunEnd.COMPLETE, 0);
+        mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
         for (int i = 0; i < 5 && mOutputs.mStores.isEmpty(); i++) {
             long score = mOutputs.mScores.keySet().stream().reduce((x, y) -> y).orElseThrow();
-            ScoreEnd end = errors == 0 ? ScoreEnd.UNKNOWN : ScoreEnd.FAILED;
+            ScoreOutcome end = errors == 0 ? ScoreOutcome.UNKNOWN : ScoreOutcome.FAILED;
             mMachine.onScoreEnd(score, end, "", errors, 4, i * 200 * MILLI);
             mMachine.onTick(i * 200 * MILLI + 150 * MILLI);
         }
@@ -114,23 +114,23 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = RunEnd.class,
+            value = RunOutcome.class,
             names = {"BROKEN", "UNFRAMED"})
-    void aBrokenRunGoesOnAfterItsLastEventElsewhere(RunEnd end) {
+    void aBrokenRunGoesOnAfterItsLastEventElsewhere(RunOutcome end) {
         endpoint("e1", 2);
         endpoint("e2", 2);
         own(step(1, sample("a", "g", 1, false)), false);
-        String first = mOutputs.last().endpoint();
-        mMachine.onRunBegun(1, 2, 0);
+        String first = mOutputs.lastRun().endpoint();
+        mMachine.onStreamStart(1, 2, 0);
         events(1, 1, 2, 0);
         mMachine.onRunEnd(1, end, MILLI);
         mMachine.onTick(100 * MILLI);
 
-        assertThat(mOutputs.last().lastEvent(), is(2));
-        assertThat(mOutputs.last().endpoint(), not(first));
-        mMachine.onRunBegun(2, 3, 100 * MILLI);
+        assertThat(mOutputs.lastRun().lastEvent(), is(2));
+        assertThat(mOutputs.lastRun().endpoint(), not(first));
+        mMachine.onStreamStart(2, 3, 100 * MILLI);
         events(2, 3, 3, 100 * MILLI);
-        mMachine.onRunEnd(2, RunEnd.COMPLETE, 100 * MILLI);
+        mMachine.onRunEnd(2, RunOutcome.COMPLETE, 100 * MILLI);
         SampleResult result = mOutputs.mStores.get(0).results().get(0);
         assertThat(result.text(), is("d1\nd2\nd3"));
         assertThat(result.versions(), contains(2, 3));
@@ -150,33 +150,33 @@
     @Test
     void anOutdatedEndpointIsTriedForTheNamedVersionOnceInAWhile() {
         endpoint("e", 1);
-        mMachine.onNamed(Endpoints.MODEL, 3);
+        mMachine.onVersionNamed(Endpoints.MODEL, 3);
         own(step(1, sample("a", "g", 1, false), sample("b", "g", 1, false)), false);
         assertThat(mOutputs.mRuns.size(), is(1));
-        assertThat(mOutputs.last().terms().expectedVersion(), is(3));
+        assertThat(mOutputs.lastRun().terms().expectedVersion(), is(3));
 
-        mMachine.onRunEnd(1, RunEnd.WRONG_VERSION, 10 * MILLI);
+        mMachine.onRunEnd(1, RunOutcome.WRONG_VERSION, 10 * MILLI);
         mMachine.onTick(100 * MILLI);
         assertThat(mOutputs.mRuns.size(), is(1));
         mMachine.onTick(120 * MILLI);
         assertThat(mOutputs.mRuns.size(), is(2));
 
-        mMachine.onRunBegun(2, 3, 130 * MILLI);
+        mMachine.onStreamStart(2, 3, 130 * MILLI);
         mMachine.onTick(131 * MILLI);
         assertThat(mOutputs.mRuns.size(), is(3));
-        assertThat(mOutputs.last().terms().expectedVersion(), is(0));
+        assertThat(mOutputs.lastRun().terms().expectedVersion(), is(0));
     }
 
     @Test
     void aRunThatTurnsOutToBeBelowTheBoundAddsNothing() {
         endpoint("e", 2);
         own(step(1, sample("a", "g", 1, false)), false);
-        mMachine.onRunBegun(1, 1, 0);
+        mMachine.onStreamStart(1, 1, 0);
         events(1, 1, 1, 0);
         mMachine.onTick(100 * MILLI);
 
-        assertThat(mOutputs.mReasons.get(0), containsString("below the bound"));
-        assertThat(mOutputs.last().lastEvent(), is(0));
+        assertThat(mOutputs.mCancelReasons.get(0), containsString("below the bound"));
+        assertThat(mOutputs.lastRun().lastEvent(), is(0));
     }
 
     @Test
@@ -184,25 +184,25 @@
         endpoint("e1", 2);
         endpoint("e2", 2);
         own(step(1, sample("a", "g", 1, false)), true);
-        mMachine.onRunBegun(1, 2, 0);
+        mMachine.onStreamStart(1, 2, 0);
         mMachine.onEvent(1, 1, "d1", 0, 0);
         mMachine.onEvent(1, 2, "d2", 3, 0);
         mMachine.onTick(100 * MILLI);
 
-        assertThat(mOutputs.last().lastEvent(), is(0));
+        assertThat(mOutputs.lastRun().lastEvent(), is(0));
     }
 
     @Test
     void aMissingEventStopsTheRun() {
         endpoint("e1", 2);
         own(step(1, sample("a", "g", 1, false)), false);
-        mMachine.onRunBegun(1, 2, 0);
+        mMachine.onStreamStart(1, 2, 0);
         events(1, 1, 1, 0);
         mMachine.onEvent(1, 3, "d3", 0, 0);
         mMachine.onTick(1_000 * MILLI);
 
-        assertThat(mOutputs.mReasons.get(0), is("event 3 after 1"));
-        assertThat(mOutputs.last().lastEvent(), is(1));
+        assertThat(mOutputs.mCancelReasons.get(0), is("event 3 after 1"));
+        assertThat(mOutputs.lastRun().lastEvent(), is(1));
     }
 
     @Test
@@ -210,13 +210,13 @@
         endpoint("e1", 2);
         endpoint("e2", 2);
         own(step(1, sample("a", "g", 1, false)), false);
-        String first = mOutputs.last().endpoint();
-        mMachine.onRunBegun(1, 2, 0);
+        String first = mOutputs.lastRun().endpoint();
+        mMachine.onStreamStart(1, 2, 0);
         events(1, 1, 1, 0);
         mMachine.onTick(1_001 * MILLI);
 
-        assertThat(mOutputs.last().endpoint(), not(first));
-        assertThat(mOutputs.last().lastEvent(), is(1));
+        assertThat(mOutputs.lastRun().endpoint(), not(first));
+        assertThat(mOutputs.lastRun().lastEvent(), is(1));
     }
 
     /** Has a sample at each of two endpoints, one of which is five times as slow. */
@@ -224,8 +224,8 @@
         endpoint("e1", 2);
         endpoint("e2", 2);
         own(step(2, sample("a", "g", 1, false), sample("b", "h", 1, false)), false);
-        mMachine.onRunBegun(1, 2, 0);
-        mMachine.onRunBegun(2, 2, 0);
+        mMachine.onStreamStart(1, 2, 0);
+        mMachine.onStreamStart(2, 2, 0);
         for (int i = 1; i <= 16; i++) {
             if (i % 5 == 0) {
                 events(1, i / 5, i / 5, i * 40 * MILLI);
@@ -239,18 +239,18 @@
     void aSampleLeavesASlowEndpoint() {
         runOnASlowAndAFastEndpoint();
 
-        assertThat(mOutputs.mReasons.get(0), containsString("endpoint is slow"));
-        assertThat(mOutputs.last().sample(), is("a"));
+        assertThat(mOutputs.mCancelReasons.get(0), containsString("endpoint is slow"));
+        assertThat(mOutputs.lastRun().sample(), is("a"));
     }
 
     @Test
     void withoutMovesOnlyASilentEndpointIsLeft() {
         leaveOut(Mechanism.MOVES);
         runOnASlowAndAFastEndpoint();
-        assertThat(mOutputs.mReasons, is(empty()));
+        assertThat(mOutputs.mCancelReasons, is(empty()));
         mMachine.onTick(1_650 * MILLI);
 
-        assertThat(mOutputs.mReasons.get(0), containsString("endpoint is silent"));
+        assertThat(mOutputs.mCancelReasons.get(0), containsString("endpoint is silent"));
     }
 
     @ParameterizedTest
@@ -261,9 +261,9 @@
         }
         endpoint("e", 2);
         own(step(2, sample("a", "g", 1, false), sample("b", "h", 1, false)), false);
-        mMachine.onRunBegun(1, 2, 0);
+        mMachine.onStreamStart(1, 2, 0);
         events(1, 1, EVENTS, 0);
-        mMachine.onRunEnd(1, RunEnd.COMPLETE, 0);
+        mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
         assertThat(mOutputs.mStores.size(), is(delay ? 0 : 1));
         mMachine.onTick(600 * MILLI);
 
@@ -274,14 +274,14 @@
     void withoutTriesARecordOfTheVersionIsAwaited() {
         leaveOut(Mechanism.TRY_OUTDATED);
         endpoint("e", 1);
-        mMachine.onNamed(Endpoints.MODEL, 3);
+        mMachine.onVersionNamed(Endpoints.MODEL, 3);
         own(step(1, sample("a", "g", 1, false)), false);
         mMachine.onTick(200 * MILLI);
         assertThat(mOutputs.mRuns, is(empty()));
         endpoint("e", 3);
         mMachine.onTick(201 * MILLI);
 
-        assertThat(mOutputs.last().terms().expectedVersion(), is(0));
+        assertThat(mOutputs.lastRun().terms().expectedVersion(), is(0));
     }
 
     @Test
@@ -297,7 +297,7 @@
                         sample("d", "g", 1, false)),
                 false);
         for (int run = 1; run <= 4; run++) {
-            mMachine.onRunBegun(run, 2, 0);
+            mMachine.onStreamStart(run, 2, 0);
             events(run, 1, 1, 0);
         }
         for (int i = 2; i < 30; i++) {
@@ -307,7 +307,7 @@
             mMachine.onTick(i * 100 * MILLI);
         }
 
-        assertThat(mOutputs.mReasons, is(empty()));
+        assertThat(mOutputs.mCancelReasons, is(empty()));
     }
 
     @Test
@@ -315,7 +315,7 @@
         endpoint("e1", 2);
         own(step(1, sample("a", "g", 1, false)), false);
         for (int i = 1; i <= 3; i++) {
-            mMachine.onRunEnd(i, RunEnd.FAILED, i * 100 * MILLI);
+            mMachine.onRunEnd(i, RunOutcome.FAILED, i * 100 * MILLI);
             mMachine.onTick(i * 100 * MILLI + 50 * MILLI);
         }
 
@@ -327,7 +327,7 @@
     void anImpossibleSampleIsGivenUpAtOnce() {
         endpoint("e1", 2);
         own(step(1, sample("a", "g", 1, false)), false);
-        mMachine.onRunEnd(1, RunEnd.IMPOSSIBLE, 0);
+        mMachine.onRunEnd(1, RunOutcome.IMPOSSIBLE, 0);
 
         assertThat(mOutputs.mStores.get(0).results().get(0).done(), is(false));
     }
@@ -337,7 +337,7 @@
         mFleet.onRecord(Endpoints.record("e", 1, 2));
         own(step(1, sample("long", "g1", 900, false), sample("short", "g2", 10, false)), false);
 
-        assertThat(mOutputs.last().sample(), is("short"));
+        assertThat(mOutputs.lastRun().sample(), is("short"));
     }
 
     @Test
@@ -346,7 +346,7 @@
         mFleet.onRecord(Endpoints.record("e", 1, 2));
         own(step(1, sample("long", "g1", 900, false), sample("short", "g2", 10, false)), false);
 
-        assertThat(mOutputs.last().sample(), is("long"));
+        assertThat(mOutputs.lastRun().sample(), is("long"));
     }
 
     @ParameterizedTest
@@ -363,7 +363,7 @@
         StepSpec later =
                 new StepSpec(
                         StepId.of("later"), "x", "/", 4, Endpoints.MODEL, BOUND, 1, List.of(more));
-        mMachine.onOwned(later, route(false), List.of(), List.of(), 0, 650 * MILLI);
+        mMachine.onStepAcquired(later, route(false), List.of(), List.of(), 0, 650 * MILLI);
         long atSlow =
                 mOutputs.mRuns.stream()
                         .filter(run -> run.sample().startsWith("more"))
@@ -376,35 +376,36 @@
     @Test
     void aTextThatAnEarlierOwnerHandedOverIsContinued() {
         endpoint("e", 2);
-        PartialText text = new PartialText("a", List.of("d1", "d2"), List.of(2, 2), false);
-        mMachine.onOwned(
+        SampleCheckpoint text =
+                new SampleCheckpoint("a", List.of("d1", "d2"), List.of(2, 2), false);
+        mMachine.onStepAcquired(
                 step(1, sample("a", "g", 1, false)), route(false), List.of(), List.of(text), 0, 0);
 
-        assertThat(mOutputs.last().lastEvent(), is(2));
+        assertThat(mOutputs.lastRun().lastEvent(), is(2));
     }
 
     @Test
     void longTextsOfUnfinishedSamplesAreWorthKeeping() {
         endpoint("e", 2);
         own(step(1, sample("a", "g", 2, false), sample("b", "g", 1, false)), false);
-        mMachine.onRunBegun(1, 2, 0);
-        mMachine.onRunBegun(2, 2, 0);
+        mMachine.onStreamStart(1, 2, 0);
+        mMachine.onStreamStart(2, 2, 0);
         events(1, 1, 5, 0);
         events(2, 1, 4, 0);
 
-        List<PartialText> texts = mMachine.unfinished(STEP, 5);
+        List<SampleCheckpoint> texts = mMachine.checkpoints(STEP, 5);
         assertThat(texts.size(), is(1));
         assertThat(texts.get(0).id(), is("a"));
         assertThat(texts.get(0).events().size(), is(5));
-        mMachine.onRunEnd(1, RunEnd.COMPLETE, 0);
-        assertThat(mMachine.unfinished(STEP, 5), is(empty()));
+        mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
+        assertThat(mMachine.checkpoints(STEP, 5), is(empty()));
     }
 
     @Test
     void resultsOfAnEarlierOwnerKeepTheirPositionsAndAreNotRunAgain() {
         endpoint("e", 2);
         SampleResult listed = new SampleResult("a", true, "t", List.of(2), "");
-        mMachine.onOwned(
+        mMachine.onStepAcquired(
                 step(2, sample("a", "g", 1, false), sample("b", "h", 1, false)),
                 route(false),
                 List.of(listed),
@@ -412,9 +413,9 @@
                 0,
                 0);
 
-        assertThat(mMachine.listed(STEP), contains(listed));
+        assertThat(mMachine.listedResults(STEP), contains(listed));
         assertThat(mOutputs.mRuns.size(), is(1));
-        assertThat(mOutputs.last().sample(), is("b"));
+        assertThat(mOutputs.lastRun().sample(), is("b"));
     }
 
     @Test
@@ -423,35 +424,35 @@
         own(step(2, sample("a", "g", 2, false), sample("b", "h", 1, false)), false);
         long whole = mOutputs.mRuns.get(0).run();
         long begun = mOutputs.mRuns.get(1).run();
-        mMachine.onRunBegun(whole, 2, 0);
-        mMachine.onRunBegun(begun, 2, 0);
+        mMachine.onStreamStart(whole, 2, 0);
+        mMachine.onStreamStart(begun, 2, 0);
         events(whole, 1, EVENTS, 0);
         events(begun, 1, 2, 0);
-        mMachine.onRunEnd(whole, RunEnd.COMPLETE, 0);
+        mMachine.onRunEnd(whole, RunOutcome.COMPLETE, 0);
 
-        List<PartialText> texts = mMachine.onEnded(STEP);
+        List<SampleCheckpoint> texts = mMachine.onStepEnded(STEP);
         assertThat(texts.size(), is(2));
         assertThat(texts.get(0).complete(), is(false));
         assertThat(texts.get(0).events(), contains("d1", "d2"));
         assertThat(texts.get(1).complete(), is(true));
         assertThat(texts.get(1).events(), contains("d1", "d2", "d3"));
-        assertThat(mMachine.onEnded(STEP), is(empty()));
+        assertThat(mMachine.onStepEnded(STEP), is(empty()));
     }
 
     @Test
     void aWholeTextOfAnEarlierStepIsOnlyScored() {
         endpoint("e", 2);
         SampleResult result = new SampleResult("a", true, "d1\nd2", List.of(2, 3), "old");
-        mMachine.onOwned(
+        mMachine.onStepAcquired(
                 step(1, sample("a", "g", 1, true)),
                 route(false),
                 List.of(),
-                List.of(PartialText.whole(result)),
+                List.of(SampleCheckpoint.ofResult(result)),
                 0,
                 0);
         assertThat(mOutputs.mRuns, is(empty()));
         long score = mOutputs.mScores.keySet().iterator().next();
-        mMachine.onScoreEnd(score, ScoreEnd.SCORED, "new", 0, 4, 0);
+        mMachine.onScoreEnd(score, ScoreOutcome.SCORED, "new", 0, 4, 0);
 
         SampleResult expected = new SampleResult("a", true, "d1\nd2", List.of(2, 3), "new");
         assertThat(mOutputs.mStores.get(0).results(), contains(expected));
@@ -463,11 +464,11 @@
         SampleResult result = new SampleResult("a", true, "d1\nd2", List.of(2), "");
         SampleSpec unscored = sample("a", "g", 1, false);
 
-        mMachine.onOwned(
+        mMachine.onStepAcquired(
                 step(1, unscored),
                 route(false),
                 List.of(),
-                List.of(PartialText.whole(result)),
+                List.of(SampleCheckpoint.ofResult(result)),
                 0,
                 0);
 
@@ -480,11 +481,11 @@
     void anEndedStepStopsItsRuns() {
         endpoint("e", 2);
         own(step(1, sample("a", "g", 1, false)), false);
-        mMachine.onEnded(STEP);
+        mMachine.onStepEnded(STEP);
 
-        assertThat(mOutputs.mOpen.keySet(), is(empty()));
+        assertThat(mOutputs.mOpenRuns.keySet(), is(empty()));
         assertThat(mFleet.get("e").active(), is(0));
-        mMachine.onRunEnd(1, RunEnd.COMPLETE, 0);
+        mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
         assertThat(mOutputs.mStores, is(empty()));
     }
 
@@ -518,15 +519,15 @@
         Map<String, SampleResult> listed = new HashMap<>();
         int stored = 0;
         long now = 0;
-        for (int i = 0; i < 20_000 && mMachine.size() > 0; i++) {
+        for (int i = 0; i < 20_000 && mMachine.stepCount() > 0; i++) {
             now += MILLI * random.nextInt(30);
             mMachine.onTick(now);
-            for (FakeStepOutputs.Run run : List.copyOf(mOutputs.mOpen.values())) {
+            for (FakeStepOutputs.Run run : List.copyOf(mOutputs.mOpenRuns.values())) {
                 play(run, random, now);
             }
             for (Long run : List.copyOf(mOutputs.mScores.keySet())) {
                 mOutputs.mScores.remove(run);
-                ScoreEnd end = ScoreEnd.values()[random.nextInt(3)];
+                ScoreOutcome end = ScoreOutcome.values()[random.nextInt(3)];
                 mMachine.onScoreEnd(run, end, "stamp", random.nextInt(2), 4, now);
             }
             if (stored < mOutputs.mStores.size() && random.nextInt(3) == 0) {
@@ -535,7 +536,7 @@
                 for (SampleResult result : store.results()) {
                     assertThat(listed.put(result.id(), result) == null, is(true));
                 }
-                mMachine.onStored(STEP, now);
+                mMachine.onResultsStored(STEP, now);
             }
         }
         return listed;
@@ -547,15 +548,19 @@
         if (random.nextInt(2) == 0) {
             return;
         }
-        mOutputs.mOpen.remove(run.run());
+        mOutputs.mOpenRuns.remove(run.run());
         int version = random.nextInt(8) == 0 ? 1 : 2 + random.nextInt(2);
-        mMachine.onRunBegun(run.run(), version, now);
+        mMachine.onStreamStart(run.run(), version, now);
         int last = whole ? EVENTS : run.lastEvent() + events;
         events(run.run(), run.lastEvent() + 1, last, now);
-        RunEnd[] ends = {
-            RunEnd.BROKEN, RunEnd.UNFRAMED, RunEnd.NOT_RUN, RunEnd.UNREACHABLE, RunEnd.FAILED
+        RunOutcome[] ends = {
+            RunOutcome.BROKEN,
+            RunOutcome.UNFRAMED,
+            RunOutcome.NOT_RUN,
+            RunOutcome.UNREACHABLE,
+            RunOutcome.FAILED
         };
-        RunEnd end = whole ? RunEnd.COMPLETE : ends[random.nextInt(ends.length)];
+        RunOutcome end = whole ? RunOutcome.COMPLETE : ends[random.nextInt(ends.length)];
         mMachine.onRunEnd(run.run(), end, now);
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoad.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulation.java
@@ -12,10 +12,10 @@
 import org.ebonyrun.core.fleet.Endpoint;
 import org.ebonyrun.core.fleet.Endpoints;
 import org.ebonyrun.core.fleet.Fleet;
-import org.ebonyrun.core.route.CallTerms;
+import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
 import org.ebonyrun.core.route.RouteKind;
-import org.ebonyrun.core.route.StepTerms;
+import org.ebonyrun.core.route.StepOptions;
 
 /**
  * Trainers that ask for step after step from a pool of endpoints, in virtual time.
@@ -24,7 +24,7 @@
  * runs that it has. A trainer ends a step once the wanted groups are whole, trains, and asks for
  * the next, with the groups that were not whole first and waited for.
  */
-final class TrainerLoad implements StepOutputs {
+final class TrainerLoadSimulation implements StepOutputs {
     private static final long EVENT_NANOS = Nanos.ofMillis(20);
     private static final double SLOWER_PER_RUN = 0.03;
     private static final long TRAIN_NANOS = Nanos.ofMillis(1_000);
@@ -36,8 +36,8 @@
     private static final Route ROUTE =
             Endpoints.route(
                     RouteKind.STEPS,
-                    new CallTerms(10_000, 500, 3, 0),
-                    new StepTerms(7_500, 40_000, false));
+                    new CallOptions(10_000, 500, 3, 0),
+                    new StepOptions(7_500, 40_000, false));
 
     /** A trainer between two moments. */
     private static final class Trainer {
@@ -63,7 +63,7 @@
     private final int mGroups;
     private final Map<String, Double> mSlowness = new HashMap<>();
     private final Map<String, Trainer> mTrainers = new HashMap<>();
-    private final Map<StepId, List<PartialText>> mTexts = new HashMap<>();
+    private final Map<StepId, List<SampleCheckpoint>> mTexts = new HashMap<>();
     private final Set<Long> mOpen = new HashSet<>();
     private final boolean mCarriesTexts;
 
@@ -75,7 +75,7 @@
      * @param groups how many groups of four samples a step has
      * @param carriesTexts whether a step goes on with texts of the one before
      */
-    TrainerLoad(
+    TrainerLoadSimulation(
             SampleOrder order,
             SamplePlacement placement,
             List<Double> slowness,
@@ -94,13 +94,13 @@
         for (int i = 0; i < trainers; i++) {
             Trainer trainer = new Trainer(i);
             mTrainers.put("t" + i, trainer);
-            mClock.at(0, now -> ask(trainer, now));
+            mClock.schedule(0, now -> ask(trainer, now));
         }
-        mClock.every(TICK_NANOS, mMachine::onTick);
+        mClock.scheduleEvery(TICK_NANOS, mMachine::onTick);
     }
 
     /** Plays the load and returns how long trainers waited for a step, in ms at the mean. */
-    double play(long seconds) {
+    double run(long seconds) {
         mClock.runUntil(Nanos.ofMillis(seconds * 1_000));
         long waited = mTrainers.values().stream().mapToLong(trainer -> trainer.mWaited).sum();
         int done = mTrainers.values().stream().mapToInt(trainer -> trainer.mDone).sum();
@@ -127,10 +127,11 @@
         trainer.mMissing.clear();
         trainer.mCarried.forEach(sample -> trainer.mMissing.add(sample.id()));
         StepId before = StepId.of("t" + trainer.mNumber + "-" + (trainer.mStep - 1));
-        List<PartialText> texts = mTexts.getOrDefault(before, List.of());
-        List<PartialText> fitting = CarriedTexts.fitting(trainer.mSpec, false, List.of(), texts);
+        List<SampleCheckpoint> texts = mTexts.getOrDefault(before, List.of());
+        List<SampleCheckpoint> fitting =
+                CarriedTexts.selectUsable(trainer.mSpec, false, List.of(), texts);
         mTexts.remove(before);
-        mMachine.onOwned(trainer.mSpec, ROUTE, List.of(), fitting, 0, now);
+        mMachine.onStepAcquired(trainer.mSpec, ROUTE, List.of(), fitting, 0, now);
     }
 
     private SampleSpec sample(String id, String group) {
@@ -147,9 +148,9 @@
             SampleSpec sample,
             Endpoint endpoint,
             int lastEvent,
-            RunTerms terms) {
+            RunOptions terms) {
         mOpen.add(run);
-        mClock.at(mClock.now(), now -> mMachine.onRunBegun(run, 1, now));
+        mClock.schedule(mClock.now(), now -> mMachine.onStreamStart(run, 1, now));
         next(run, sample, endpoint, lastEvent + 1);
     }
 
@@ -158,7 +159,8 @@
                 EVENT_NANOS
                         * mSlowness.get(endpoint.id())
                         * (1 + SLOWER_PER_RUN * endpoint.active());
-        mClock.at(mClock.now() + (long) pace, now -> generate(run, sample, endpoint, event, now));
+        mClock.schedule(
+                mClock.now() + (long) pace, now -> generate(run, sample, endpoint, event, now));
     }
 
     private void generate(long run, SampleSpec sample, Endpoint endpoint, int event, long now) {
@@ -170,7 +172,7 @@
             next(run, sample, endpoint, event + 1);
         } else {
             mOpen.remove(run);
-            mMachine.onRunEnd(run, RunEnd.COMPLETE, now);
+            mMachine.onRunEnd(run, RunOutcome.COMPLETE, now);
         }
     }
 
@@ -180,22 +182,22 @@
     }
 
     @Override
-    public void score(long run, StepSpec step, SampleSpec sample) {
+    public void startScoring(long run, StepSpec step, SampleSpec sample) {
         throw new IllegalStateException("sample " + sample.id() + " is not to be scored");
     }
 
     @Override
-    public void store(StepId step, int position, List<SampleResult> results, boolean last) {
-        mClock.at(
+    public void storeResults(StepId step, int position, List<SampleResult> results, boolean last) {
+        mClock.schedule(
                 mClock.now(),
                 now -> {
-                    mMachine.onStored(step, now);
+                    mMachine.onResultsStored(step, now);
                     read(step, results, now);
                 });
     }
 
     @Override
-    public void listed(StepId step) {
+    public void onResultsListed(StepId step) {
         // Read when the store has acknowledged the results.
     }
 
@@ -221,10 +223,10 @@
         trainer.mDone++;
         trainer.mCarried =
                 trainer.mSpec.samples().stream().filter(s -> left.get(s.group()) > 0).toList();
-        List<PartialText> texts = mMachine.onEnded(step);
+        List<SampleCheckpoint> texts = mMachine.onStepEnded(step);
         if (mCarriesTexts) {
             mTexts.put(step, texts);
         }
-        mClock.at(now + TRAIN_NANOS, later -> ask(trainer, later));
+        mClock.schedule(now + TRAIN_NANOS, later -> ask(trainer, later));
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/SamplePolicyTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Plays loads under the product's decisions and under simpler ones, and compares the waits. */
-class SamplePolicyTest {
+class TrainerLoadSimulationTest {
     private static final long SECONDS = 120;
     private static final List<Double> EVEN = List.of(1.0, 1.0, 1.0, 1.0, 1.0, 1.0);
     private static final List<Double> ONE_SLOW = List.of(1.0, 1.0, 4.0, 1.0, 1.0, 1.0);
@@ -26,8 +26,8 @@
 
     private static double wait(
             SampleOrder order, SamplePlacement placement, String pool, int trainers, long seed) {
-        return new TrainerLoad(order, placement, pool(pool), trainers, 12, true, seed)
-                .play(SECONDS);
+        return new TrainerLoadSimulation(order, placement, pool(pool), trainers, 12, true, seed)
+                .run(SECONDS);
     }
 
     @ParameterizedTest
@@ -40,12 +40,24 @@
         "two-slow, 4, 6"
     })
     void trainersWaitLessThanUnderArrivalOrderAndRoundRobin(String pool, int trainers, long seed) {
-        double ours = wait(new WantedGroupsFirst(), new PaceShares(), pool, trainers, seed);
-        double arrival = wait(new ArrivalSampleOrder(), new PaceShares(), pool, trainers, seed);
+        double ours =
+                wait(
+                        new WantedGroupsFirstSampleOrder(),
+                        new SpeedProportionalPlacement(),
+                        pool,
+                        trainers,
+                        seed);
+        double arrival =
+                wait(new FifoSampleOrder(), new SpeedProportionalPlacement(), pool, trainers, seed);
         double turns =
-                wait(new WantedGroupsFirst(), new RoundRobinPlacement(), pool, trainers, seed);
+                wait(
+                        new WantedGroupsFirstSampleOrder(),
+                        new RoundRobinPlacement(),
+                        pool,
+                        trainers,
+                        seed);
         double simple =
-                wait(new ArrivalSampleOrder(), new RoundRobinPlacement(), pool, trainers, seed);
+                wait(new FifoSampleOrder(), new RoundRobinPlacement(), pool, trainers, seed);
         System.out.printf(
                 "steps pool=%s trainers=%d ours=%.0f arrival=%.0f round-robin=%.0f both=%.0f ms%n",
                 pool, trainers, ours, arrival, turns, simple);
@@ -61,15 +73,15 @@
         double[] waits = new double[2];
         for (int carries = 0; carries < 2; carries++) {
             waits[carries] =
-                    new TrainerLoad(
-                                    new WantedGroupsFirst(),
-                                    new PaceShares(),
+                    new TrainerLoadSimulation(
+                                    new WantedGroupsFirstSampleOrder(),
+                                    new SpeedProportionalPlacement(),
                                     pool(pool),
                                     trainers,
                                     12,
                                     carries == 1,
                                     seed)
-                            .play(SECONDS);
+                            .run(SECONDS);
         }
         System.out.printf(
                 "carry pool=%s trainers=%d carried=%.0f again=%.0f ms%n",
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallDesk.java
@@ -13,7 +13,7 @@
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.route.RouteKind;
 import org.ebonyrun.core.step.ScoreCall;
-import org.ebonyrun.core.step.ScoreEnd;
+import org.ebonyrun.core.step.ScoreOutcome;
 import org.ebonyrun.platform.EndpointProtocol;
 import org.ebonyrun.platform.FrontProtocol;
 import org.ebonyrun.ports.http.FrontExchange;
@@ -46,7 +46,7 @@
          * @param score what the service said; empty unless it scored the sample
          * @param errors how many times the service answered with an error of its own
          */
-        void onEnd(ScoreEnd end, String score, int errors);
+        void onEnd(ScoreOutcome end, String score, int errors);
     }
 
     private final EntryParts mParts;
@@ -184,9 +184,9 @@
             return;
         }
         if (head.isSuccess()) {
-            end.onEnd(ScoreEnd.SCORED, EndpointProtocol.signature(head), errors);
+            end.onEnd(ScoreOutcome.SCORED, EndpointProtocol.signature(head), errors);
         } else {
-            end.onEnd(ScoreEnd.FAILED, "", errors);
+            end.onEnd(ScoreOutcome.FAILED, "", errors);
         }
     }
 
@@ -207,7 +207,7 @@
             return;
         }
         if (client.onScore() != null) {
-            client.onScore().onEnd(ScoreEnd.UNKNOWN, "", errors);
+            client.onScore().onEnd(ScoreOutcome.UNKNOWN, "", errors);
         } else if (client.caller() != null) {
             client.caller()
                     .respond(
@@ -234,7 +234,7 @@
         }
         FrontExchange caller = client.caller();
         if (client.onScore() != null) {
-            client.onScore().onEnd(ScoreEnd.UNKNOWN, "", errors);
+            client.onScore().onEnd(ScoreOutcome.UNKNOWN, "", errors);
         } else if (caller != null && caller.isBegun()) {
             caller.abort();
         } else if (caller != null) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontDesk.java
@@ -85,7 +85,7 @@
     private void serve(FrontExchange exchange) {
         RouteTable routes = mRoutes.get();
         String id = FrontProtocol.requestId(exchange.headers()).orElse("");
-        if (!routes.isKnown()) {
+        if (!routes.isConfigured()) {
             refuse(exchange, id, "no configuration is known");
             return;
         }
@@ -128,7 +128,8 @@
         long deadline = FrontProtocol.deadlineMillis(exchange.headers(), timeout);
         long endsAt = now + Nanos.ofMillis(Math.max(1, Math.min(timeout, deadline)));
         CallSpec spec =
-                new CallSpec(mCalls.nextId(), id, route, route.pick(mRandom), now, endsAt, false);
+                new CallSpec(
+                        mCalls.nextId(), id, route, route.pickService(mRandom), now, endsAt, false);
         mCalls.onCall(spec, exchange, now);
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -168,7 +168,7 @@
                 LogLine.of("start")
                         .with("vm", settings.vm())
                         .with("process", entry.mSelf.text())
-                        .with("left_out", settings.policy().off()));
+                        .with("left_out", settings.policy().disabled()));
         return entry;
     }
 
@@ -216,7 +216,7 @@
         Map<String, Double> gauges = new TreeMap<>();
         gauges.put("ebonyrun_entry_open_calls", (double) mCalls.size());
         gauges.put("ebonyrun_entry_owned_steps", (double) mSteps.size());
-        gauges.put("ebonyrun_entry_running_samples", (double) mSamples.machine().running());
+        gauges.put("ebonyrun_entry_running_samples", (double) mSamples.machine().runningSamples());
         gauges.put("ebonyrun_entry_endpoints", (double) mFleet.all().size());
         gauges.put("ebonyrun_entry_config_version", (double) mRoutes.version());
         gauges.put("ebonyrun_entry_ready", mReady ? 1.0 : 0.0);
@@ -248,7 +248,7 @@
 
     @Override
     public boolean knowsRoutes() {
-        return mRoutes.isKnown();
+        return mRoutes.isConfigured();
     }
 
     @Override
@@ -269,7 +269,7 @@
                                                 return true;
                                             },
                                             fault -> false);
-                            then.accept(read && mRoutes.isKnown());
+                            then.accept(read && mRoutes.isConfigured());
                         },
                         executor());
     }
@@ -301,7 +301,7 @@
     }
 
     private void updateReady(long now) {
-        boolean synced = mWatches.stream().allMatch(StoreWatch::isSynced) && mRoutes.isKnown();
+        boolean synced = mWatches.stream().allMatch(StoreWatch::isSynced) && mRoutes.isConfigured();
         boolean reachable = mHealth.awayNanos(now) < STORE_SILENCE_NANOS;
         boolean ready = synced && reachable && !mDraining;
         if (ready != mReady) {
@@ -423,7 +423,7 @@
                             .with("model", named.model())
                             .with("version", named.version()));
             mPlanner.machine().onNamed(named.model(), named.version(), System.nanoTime());
-            mSamples.machine().onNamed(named.model(), named.version());
+            mSamples.machine().onVersionNamed(named.model(), named.version());
         } else if (event instanceof OperatorEvent.RetireAsked retire) {
             mPlanner.onRetire(retire.vm());
         }
@@ -438,10 +438,10 @@
         CallerLimits limits = routes.limits();
         mLimits =
                 new FrontLimits(
-                        limits.headerBytes(),
-                        limits.bodyBytes(),
-                        limits.headerMillis(),
-                        limits.idleMillis());
+                        limits.maxHeaderBytes(),
+                        limits.maxBodyBytes(),
+                        limits.headerTimeoutMillis(),
+                        limits.idleTimeoutMillis());
         mPlanner.machine().onRoutes(routes, configured.singleVersion());
         mLog.write(
                 LogLine.of("config.applied")
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
@@ -121,7 +121,7 @@
     private static Policy policy(SettingsNode node) {
         Map<String, Mechanism> mechanisms = new TreeMap<>();
         for (Mechanism mechanism : Mechanism.values()) {
-            mechanisms.put(mechanism.key(), mechanism);
+            mechanisms.put(mechanism.settingKey(), mechanism);
         }
         node.allow(mechanisms.keySet());
         Policy policy = Policy.ALL;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
@@ -6,7 +6,7 @@
 import org.ebonyrun.base.result.Result;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.policy.Mechanism;
-import org.ebonyrun.core.step.PartialText;
+import org.ebonyrun.core.step.SampleCheckpoint;
 import org.ebonyrun.core.step.SampleResult;
 import org.ebonyrun.core.step.StepId;
 import org.ebonyrun.core.step.StepMachine;
@@ -58,7 +58,7 @@
         mStore = store;
         mMachine = machine;
         mOwner = owner;
-        mCheckpoints = parts.policy().uses(Mechanism.CHECKPOINTS);
+        mCheckpoints = parts.policy().isEnabled(Mechanism.CHECKPOINTS);
     }
 
     /** Repeats what the store did not answer, and keeps texts of steps that list nothing. */
@@ -92,11 +92,11 @@
             return NOTHING;
         }
         owned.mCheckpointAt = now;
-        return encode(id, mMachine.unfinished(id, CHECKPOINT_EVENTS));
+        return encode(id, mMachine.checkpoints(id, CHECKPOINT_EVENTS));
     }
 
     /** Returns texts as they are kept; empty if there are none or they take too much room. */
-    private byte[] encode(StepId id, List<PartialText> texts) {
+    private byte[] encode(StepId id, List<SampleCheckpoint> texts) {
         byte[] partial = texts.isEmpty() ? NOTHING : StepCodec.partial(texts);
         if (partial.length > CHECKPOINT_BYTES) {
             logUnkept(id, "texts have " + partial.length + " bytes");
@@ -106,7 +106,7 @@
     }
 
     /** Keeps texts of a step that has ended, for a later step that asks for them again. */
-    void keepTexts(StepId id, OwnedStep owned, List<PartialText> texts) {
+    void keepTexts(StepId id, OwnedStep owned, List<SampleCheckpoint> texts) {
         keep(id, owned, encode(id, texts));
     }
 
@@ -184,7 +184,7 @@
 
     private void onStored(StepId id, OwnedStep owned, PendingResults append) {
         owned.mPending = null;
-        mMachine.onStored(id, System.nanoTime());
+        mMachine.onResultsStored(id, System.nanoTime());
         if (append.mLast) {
             mOwner.onLast(id);
         }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleDesk.java
@@ -12,12 +12,12 @@
 import org.ebonyrun.core.fleet.Endpoint;
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.route.Route;
-import org.ebonyrun.core.step.RunEnd;
-import org.ebonyrun.core.step.RunTerms;
+import org.ebonyrun.core.step.RunOptions;
+import org.ebonyrun.core.step.RunOutcome;
 import org.ebonyrun.core.step.SampleResult;
 import org.ebonyrun.core.step.SampleSpec;
 import org.ebonyrun.core.step.ScoreCall;
-import org.ebonyrun.core.step.ScoreEnd;
+import org.ebonyrun.core.step.ScoreOutcome;
 import org.ebonyrun.core.step.StepId;
 import org.ebonyrun.core.step.StepMachine;
 import org.ebonyrun.core.step.StepOutputs;
@@ -74,7 +74,7 @@
             SampleSpec sample,
             Endpoint endpoint,
             int lastEvent,
-            RunTerms terms) {
+            RunOptions terms) {
         SampleExchange exchange = new SampleExchange(run, endpoint.id(), mParts.executor(), this);
         mRuns.put(run, exchange);
         mParts.log()
@@ -113,7 +113,7 @@
 
     @Override
     public void onBegun(long run, int version) {
-        mMachine.onRunBegun(run, version, System.nanoTime());
+        mMachine.onStreamStart(run, version, System.nanoTime());
     }
 
     @Override
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void onEnd(long run, RunEnd end, String detail) {
+    public void onEnd(long run, RunOutcome end, String detail) {
         SampleExchange exchange = mRuns.remove(run);
         if (exchange == null) {
             return;
@@ -143,17 +143,17 @@
     }
 
     @Override
-    public void score(long run, StepSpec step, SampleSpec sample) {
+    public void startScoring(long run, StepSpec step, SampleSpec sample) {
         ScoreCall score =
                 checkNotNull(sample.score(), "sample %s has no score to ask for", sample.id());
         long now = System.nanoTime();
         Optional<Route> route = mRoutes.find(score.host(), score.path());
         if (route.isEmpty()) {
             mParts.log().write(LogLine.of("score.unrouted").with("request", sample.id()));
-            mMachine.onScoreEnd(run, ScoreEnd.UNKNOWN, "", 0, 1, now);
+            mMachine.onScoreEnd(run, ScoreOutcome.UNKNOWN, "", 0, 1, now);
             return;
         }
-        long goal = Nanos.ofMillis(route.get().call().goalMillis());
+        long goal = Nanos.ofMillis(route.get().call().targetLatencyMillis());
         CallSpec call =
                 new CallSpec(
                         mCalls.nextId(),
@@ -173,13 +173,13 @@
     }
 
     @Override
-    public void store(StepId step, int position, List<SampleResult> results, boolean last) {
+    public void storeResults(StepId step, int position, List<SampleResult> results, boolean last) {
         mOwner.append(step, position, results, last);
     }
 
     @Override
-    public void listed(StepId step) {
-        List<SampleResult> listed = mMachine.listed(step);
+    public void onResultsListed(StepId step) {
+        List<SampleResult> listed = mMachine.listedResults(step);
         if (listed != null) {
             mReader.onListed(step, listed);
         }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executor;
-import org.ebonyrun.core.step.RunEnd;
+import org.ebonyrun.core.step.RunOutcome;
 import org.ebonyrun.platform.EndpointProtocol;
 import org.ebonyrun.ports.http.HttpHead;
 import org.ebonyrun.ports.http.SseEvent;
@@ -25,7 +25,7 @@
         void onEvents(long run, List<SseEvent> events);
 
         /** The run ended. */
-        void onEnd(long run, RunEnd end, String detail);
+        void onEnd(long run, RunOutcome end, String detail);
     }
 
     private final long mRun;
@@ -75,27 +75,27 @@
 
     @Override
     public void onEnd() {
-        RunEnd end = end();
+        RunOutcome end = end();
         String detail = mHead == null ? "no head" : "status " + mHead.status();
         tell(() -> mSink.onEnd(mRun, end, detail));
     }
 
-    private RunEnd end() {
+    private RunOutcome end() {
         if (mHead == null || mBroken) {
-            return RunEnd.BROKEN;
+            return RunOutcome.BROKEN;
         }
         if (!mStream) {
             return EndpointProtocol.runEnd(mHead, mEndpoint);
         }
         if (!mParser.isBetweenEvents()) {
-            return RunEnd.BROKEN;
+            return RunOutcome.BROKEN;
         }
-        return mHead.framed() ? RunEnd.COMPLETE : RunEnd.UNFRAMED;
+        return mHead.framed() ? RunOutcome.COMPLETE : RunOutcome.UNFRAMED;
     }
 
     @Override
     public void onFailure(boolean sent, String detail) {
-        RunEnd end = sent ? RunEnd.BROKEN : RunEnd.UNREACHABLE;
+        RunOutcome end = sent ? RunOutcome.BROKEN : RunOutcome.UNREACHABLE;
         tell(() -> mSink.onEnd(mRun, end, detail));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepCodec.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepCodec.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.ebonyrun.base.json.JsonTrees;
-import org.ebonyrun.core.step.PartialText;
+import org.ebonyrun.core.step.SampleCheckpoint;
 import org.ebonyrun.core.step.SampleResult;
 
 /**
@@ -69,10 +69,10 @@
         return results;
     }
 
-    static byte[] partial(List<PartialText> texts) {
+    static byte[] partial(List<SampleCheckpoint> texts) {
         ObjectNode root = JsonTrees.object();
         ArrayNode array = root.putArray("texts");
-        for (PartialText text : texts) {
+        for (SampleCheckpoint text : texts) {
             ObjectNode node = array.addObject();
             node.put("id", text.id());
             node.put("complete", text.complete());
@@ -84,13 +84,13 @@
         return JsonTrees.write(root);
     }
 
-    static List<PartialText> partial(byte[] value) {
-        List<PartialText> texts = new ArrayList<>();
+    static List<SampleCheckpoint> partial(byte[] value) {
+        List<SampleCheckpoint> texts = new ArrayList<>();
         for (JsonNode node : JsonTrees.read(value).path("texts")) {
             List<String> events = new ArrayList<>();
             node.path("events").forEach(event -> events.add(event.asText()));
             texts.add(
-                    new PartialText(
+                    new SampleCheckpoint(
                             node.path("id").asText(),
                             events,
                             integers(node.path("versions")),
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwner.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwner.java
@@ -16,13 +16,13 @@
 import org.ebonyrun.base.result.Result;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.policy.Mechanism;
-import org.ebonyrun.core.route.CallTerms;
+import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
 import org.ebonyrun.core.route.RouteKind;
-import org.ebonyrun.core.route.StepTerms;
+import org.ebonyrun.core.route.StepOptions;
 import org.ebonyrun.core.route.WeightedService;
 import org.ebonyrun.core.step.CarriedTexts;
-import org.ebonyrun.core.step.PartialText;
+import org.ebonyrun.core.step.SampleCheckpoint;
 import org.ebonyrun.core.step.SampleResult;
 import org.ebonyrun.core.step.StepId;
 import org.ebonyrun.core.step.StepMachine;
@@ -68,7 +68,7 @@
         mStore = store;
         mMachine = machine;
         mRandom = random;
-        mCarries = parts.policy().uses(Mechanism.CARRIED_TEXTS);
+        mCarries = parts.policy().isEnabled(Mechanism.CARRIED_TEXTS);
         mWriter = new ResultWriter(parts, store, machine, this);
     }
 
@@ -95,7 +95,7 @@
 
     @Override
     public List<SampleResult> listed(StepId id) {
-        List<SampleResult> listed = mMachine.listed(id);
+        List<SampleResult> listed = mMachine.listedResults(id);
         return listed == null ? List.of() : listed;
     }
 
@@ -221,12 +221,12 @@
     }
 
     /** Returns what the step before left for a step. A failure costs no more than a rerun. */
-    private List<PartialText> carried(
+    private List<SampleCheckpoint> carried(
             StepSpec spec, Route route, StepId before, Result<StoredStep> result) {
         return result.fold(
                 stored -> {
-                    List<PartialText> texts =
-                            CarriedTexts.fitting(
+                    List<SampleCheckpoint> texts =
+                            CarriedTexts.selectUsable(
                                     spec,
                                     route.step().singleVersion(),
                                     stored.listed(),
@@ -253,10 +253,10 @@
     }
 
     /** Runs an accepted step, unless it runs or is no longer owned. */
-    private void run(StepSpec spec, Route route, OwnedStep owned, List<PartialText> carried) {
+    private void run(StepSpec spec, Route route, OwnedStep owned, List<SampleCheckpoint> carried) {
         if (isCurrent(spec.id(), owned) && !owned.mRunning) {
             owned.mRunning = true;
-            mMachine.onOwned(spec, route, List.of(), carried, 0, System.nanoTime());
+            mMachine.onStepAcquired(spec, route, List.of(), carried, 0, System.nanoTime());
         }
     }
 
@@ -284,7 +284,7 @@
     @Override
     public void onLost(StepId id, String why) {
         mOwned.remove(id);
-        mMachine.onLost(id);
+        mMachine.onOwnershipLost(id);
         mParts.metrics().count(EntryMetrics.STEPS, "lost");
         mParts.log().write(LogLine.of("step.lost").with("step", id).with("why", why));
     }
@@ -297,7 +297,7 @@
         OwnedStep owned = mOwned.get(id);
         if (known.mEnded && owned != null) {
             mOwned.remove(id);
-            List<PartialText> texts = mMachine.onEnded(id);
+            List<SampleCheckpoint> texts = mMachine.onStepEnded(id);
             if (mCarries) {
                 mWriter.keepTexts(id, owned, texts);
             }
@@ -496,8 +496,8 @@
                 manifest.prefix(),
                 RouteKind.STEPS,
                 List.of(new WeightedService(ServiceName.of("closed"), 1)),
-                new CallTerms(1, 1, 1, 0),
-                StepTerms.NONE);
+                new CallOptions(1, 1, 1, 0),
+                StepOptions.NONE);
     }
 
     private void adopt(StepId id, StoredStep stored, long revision) {
@@ -535,7 +535,8 @@
                                 .with("partial", stored.partial().size())
                                 .with("age_ms", age)
                                 .with("fence", revision));
-        mMachine.onOwned(spec, route, stored.listed(), stored.partial(), age, System.nanoTime());
+        mMachine.onStepAcquired(
+                spec, route, stored.listed(), stored.partial(), age, System.nanoTime());
     }
 
     /** Begins a graceful stop: takes no more steps. */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.base.result.FaultCode;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.core.step.PartialText;
+import org.ebonyrun.core.step.SampleCheckpoint;
 import org.ebonyrun.core.step.SampleResult;
 import org.ebonyrun.core.step.StepId;
 import org.ebonyrun.ports.store.Commit;
@@ -151,7 +151,7 @@
 
     /** Hands a step over: keeps texts of unfinished samples and gives the ownership up. */
     CompletableFuture<Result<Commit>> release(
-            StepId id, long ownerRevision, List<PartialText> texts) {
+            StepId id, long ownerRevision, List<SampleCheckpoint> texts) {
         String ownerKey = StepKeys.live(id, StepKeys.OWNER);
         Transaction.Builder transaction =
                 Transaction.builder().expect(ownerKey, ownerRevision).remove(ownerKey);
@@ -251,7 +251,7 @@
     private static StoredStep stored(StorePage page) {
         ByteArrayOutputStream submission = new ByteArrayOutputStream();
         List<SampleResult> listed = new ArrayList<>();
-        List<PartialText> partial = new ArrayList<>();
+        List<SampleCheckpoint> partial = new ArrayList<>();
         for (StoreItem item : page.items()) {
             if (StepKeys.isChunk(item.key())) {
                 submission.writeBytes(item.value());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoredStep.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoredStep.java
@@ -1,7 +1,7 @@
 package org.ebonyrun.daemon.hosted;
 
 import java.util.List;
-import org.ebonyrun.core.step.PartialText;
+import org.ebonyrun.core.step.SampleCheckpoint;
 import org.ebonyrun.core.step.SampleResult;
 
 /**
@@ -13,4 +13,7 @@
  * @param revision the store's revision at which this was read
  */
 record StoredStep(
-        byte[] submission, List<SampleResult> listed, List<PartialText> partial, long revision) {}
+        byte[] submission,
+        List<SampleResult> listed,
+        List<SampleCheckpoint> partial,
+        long revision) {}
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
@@ -78,7 +78,7 @@
     void restartWithout(Mechanism mechanism) throws IOException {
         mFirstEntry.close();
         mSecondEntry.close();
-        mPolicy = "\npolicy: {" + mechanism.key() + ": false}";
+        mPolicy = "\npolicy: {" + mechanism.settingKey() + ": false}";
         startEntries();
     }
 
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSettingsTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSettingsTest.java
@@ -53,7 +53,7 @@
     @ParameterizedTest
     @EnumSource(Mechanism.class)
     void eachMechanismIsUsedUnlessItIsSwitchedOff(Mechanism mechanism) {
-        String off = WHOLE + "\npolicy: {" + mechanism.key() + ": false}";
+        String off = WHOLE + "\npolicy: {" + mechanism.settingKey() + ": false}";
         HostedSettings.Parsed parsed = HostedSettings.parse("f", off);
         HostedSettings all = HostedSettings.parse("f", WHOLE).settings();
         String on = off.replace("false", "true");
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
@@ -22,12 +22,12 @@
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.core.policy.Policy;
-import org.ebonyrun.core.route.CallTerms;
+import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
 import org.ebonyrun.core.route.RouteKind;
-import org.ebonyrun.core.route.StepTerms;
+import org.ebonyrun.core.route.StepOptions;
 import org.ebonyrun.core.route.WeightedService;
-import org.ebonyrun.core.step.RunTerms;
+import org.ebonyrun.core.step.RunOptions;
 import org.ebonyrun.core.step.SampleResult;
 import org.ebonyrun.core.step.SampleSpec;
 import org.ebonyrun.core.step.StepId;
@@ -120,19 +120,20 @@
                 SampleSpec sample,
                 Endpoint endpoint,
                 int lastEvent,
-                RunTerms terms) {}
+                RunOptions terms) {}
 
         @Override
         public void cancelRun(long run, String reason) {}
 
         @Override
-        public void score(long run, StepSpec step, SampleSpec sample) {}
+        public void startScoring(long run, StepSpec step, SampleSpec sample) {}
 
         @Override
-        public void store(StepId step, int position, List<SampleResult> results, boolean last) {}
+        public void storeResults(
+                StepId step, int position, List<SampleResult> results, boolean last) {}
 
         @Override
-        public void listed(StepId step) {}
+        public void onResultsListed(StepId step) {}
     }
 
     /** Owns every step. */
@@ -174,9 +175,9 @@
                         "/",
                         RouteKind.STEPS,
                         List.of(new WeightedService(ENGINES, 1)),
-                        new CallTerms(10_000, 500, 3, 0),
-                        new StepTerms(7_500, 40_000, false));
-        machine.onOwned(
+                        new CallOptions(10_000, 500, 3, 0),
+                        new StepOptions(7_500, 40_000, false));
+        machine.onStepAcquired(
                 new StepSpec(STEP, "x", "/", 1, "", 0, 1, List.of(sample)),
                 route,
                 List.of(),
