--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
@@ -8,7 +8,7 @@
 import org.ebonyrun.base.id.ServiceName;
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.core.lease.LeaseHolder;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseRecord;
 import org.ebonyrun.core.membership.MembershipMachine;
 import org.ebonyrun.core.membership.MembershipOutputs;
 import org.ebonyrun.core.membership.Peer;
@@ -60,7 +60,7 @@
         mPlanner.onServices(List.of(SERVICE));
         mPeers.forEach(peer -> mPlanner.onVersion(peer.vm(), SERVICE, 1, true));
         mPlanner.onTick(0);
-        mPlanner.onLeaseReading(WeightPlanner.leaseKey(SERVICE), new LeaseReading(self, 3), 0);
+        mPlanner.onLeaseRecord(WeightPlanner.leaseKey(SERVICE), new LeaseRecord(self, 3), 0);
     }
 
     /** Handles a reading of the platform's list. */
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/StepBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/StepBench.java
@@ -19,7 +19,7 @@
 import org.ebonyrun.core.config.ClassSpec;
 import org.ebonyrun.core.config.OperatorConfig;
 import org.ebonyrun.core.lease.LeaseHolder;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseRecord;
 import org.ebonyrun.core.rollout.PromptGroup;
 import org.ebonyrun.core.rollout.RolloutMachine;
 import org.ebonyrun.core.rollout.RolloutOutputs;
@@ -72,7 +72,7 @@
 
         @Override
         public void acquire(String key) {
-            mEvents.add(() -> mMachine.onLeaseReading(key, new LeaseReading(SELF, 1), mNow));
+            mEvents.add(() -> mMachine.onLeaseRecord(key, new LeaseRecord(SELF, 1), mNow));
         }
 
         @Override
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/AttemptEnd.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package org.ebonyrun.core.call;
 
 /** How one send of a call ended. */
-public enum AttemptEnd {
+public enum AttemptOutcome {
     /** The endpoint answered, with success or with an error that a repeat would not change. */
     ANSWERED,
     /** The endpoint ran the call and reported an error of its own. */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallMachine.java
@@ -66,7 +66,7 @@
             Fleet fleet, FailureDomain domain, Policy policy, CallOutputs outputs) {
         return new CallMachine(
                 fleet,
-                new UrgentCallsFirst(),
+                new InteractiveFirstCallOrder(),
                 placement(domain, policy),
                 policy.isEnabled(Mechanism.HEDGED_CALLS),
                 outputs);
@@ -75,11 +75,11 @@
     private static CallPlacement placement(FailureDomain domain, Policy policy) {
         double share = policy.isEnabled(Mechanism.BACKGROUND_SHARE) ? BACKGROUND_SHARE : 1;
         if (!policy.isEnabled(Mechanism.CALL_PLACEMENT)) {
-            return new RoundRobinCalls(share);
+            return new RoundRobinCallPlacement(share);
         }
         return policy.isEnabled(Mechanism.OWN_DOMAIN)
-                ? FastestAnswer.in(domain, share)
-                : FastestAnswer.anywhere(share);
+                ? LowestLatencyPlacement.preferringDomain(domain, share)
+                : LowestLatencyPlacement.ignoringDomains(share);
     }
 
     /** Creates a machine without calls that decides by a given order and placement. */
@@ -114,31 +114,31 @@
         if (call == null) {
             return;
         }
-        call.mCommitted = true;
-        Endpoint endpoint = call.mOpen.get(attempt);
+        call.mStreaming = true;
+        Endpoint endpoint = call.mOpenAttempts.get(attempt);
         if (endpoint != null) {
-            endpoint.onAlive();
+            endpoint.onReachable();
         }
         cancelOthers(call, attempt);
     }
 
     /** Notes the end of an attempt. */
-    public void onAttemptEnd(long attempt, AttemptEnd end, long now) {
+    public void onAttemptEnd(long attempt, AttemptOutcome end, long now) {
         PendingCall call = mByAttempt.remove(attempt);
         if (call == null) {
             return;
         }
-        Endpoint endpoint = call.mOpen.remove(attempt);
+        Endpoint endpoint = call.mOpenAttempts.remove(attempt);
         if (endpoint != null) {
             endpoint.onEnded();
             judge(endpoint, end, call, now);
         }
-        boolean ran = end == AttemptEnd.ANSWERED || end == AttemptEnd.SERVER_ERROR;
-        if (!ran && end != AttemptEnd.LOST) {
-            call.mMayHaveRun--;
+        boolean ran = end == AttemptOutcome.ANSWERED || end == AttemptOutcome.SERVER_ERROR;
+        if (!ran && end != AttemptOutcome.LOST) {
+            call.mPossibleRuns--;
         }
-        if (end == AttemptEnd.ANSWERED || call.mCommitted) {
-            if (call.mCommitted && end != AttemptEnd.ANSWERED) {
+        if (end == AttemptOutcome.ANSWERED || call.mStreaming) {
+            if (call.mStreaming && end != AttemptOutcome.ANSWERED) {
                 mOutputs.fail(call.mSpec, false, "stream broke off");
             } else {
                 mOutputs.deliver(call.mSpec, attempt);
@@ -147,22 +147,22 @@
             drainQueue(now);
             return;
         }
-        if (end == AttemptEnd.SERVER_ERROR) {
-            call.mErrorAttempt = attempt;
+        if (end == AttemptOutcome.SERVER_ERROR) {
+            call.mServerErrorAttempt = attempt;
         }
         advance(call, now);
         drainQueue(now);
     }
 
-    private void judge(Endpoint endpoint, AttemptEnd end, PendingCall call, long now) {
+    private void judge(Endpoint endpoint, AttemptOutcome end, PendingCall call, long now) {
         switch (end) {
             case ANSWERED -> {
-                endpoint.onAlive();
-                endpoint.onPace(now - call.mSentAt, now);
+                endpoint.onReachable();
+                endpoint.recordLatency(now - call.mSentAt, now);
             }
-            case SERVER_ERROR -> endpoint.onAlive();
+            case SERVER_ERROR -> endpoint.onReachable();
             case NOT_RUN -> {
-                call.mRefusedBy.add(endpoint.id());
+                call.mRejectedBy.add(endpoint.id());
                 endpoint.avoidFor(FULL_NANOS, now);
             }
             case WRONG_INSTANCE -> endpoint.avoidFor(WRONG_INSTANCE_NANOS, now);
@@ -175,7 +175,7 @@
     public void onTick(long now) {
         drainQueue(now);
         for (PendingCall call : List.copyOf(mCalls.values())) {
-            if (now - call.mSpec.endsAt() + ANSWER_MARGIN_NANOS >= 0) {
+            if (now - call.mSpec.deadline() + ANSWER_MARGIN_NANOS >= 0) {
                 expire(call);
             } else if (isHedgeDue(call, now)) {
                 trySend(call, now);
@@ -184,7 +184,7 @@
     }
 
     private boolean isHedgeDue(PendingCall call, long now) {
-        if (!mHedges || call.mOpen.size() != 1 || call.mCommitted || !call.mayRunAgain()) {
+        if (!mHedges || call.mOpenAttempts.size() != 1 || call.mStreaming || !call.mayRunAgain()) {
             return false;
         }
         long goal = Nanos.ofMillis(call.mSpec.route().call().targetLatencyMillis());
@@ -194,7 +194,7 @@
     private void drainQueue(long now) {
         List<PendingCall> waiting = new ArrayList<>();
         for (PendingCall call : mCalls.values()) {
-            if (call.mOpen.isEmpty() && now - call.mNextTryAt >= 0) {
+            if (call.mOpenAttempts.isEmpty() && now - call.mRetryAt >= 0) {
                 waiting.add(call);
             }
         }
@@ -206,7 +206,7 @@
 
     /** Sends a call that has no open attempt, or decides that it must wait or end. */
     private void advance(PendingCall call, long now) {
-        if (!call.mOpen.isEmpty() || !mCalls.containsKey(call.mSpec.id())) {
+        if (!call.mOpenAttempts.isEmpty() || !mCalls.containsKey(call.mSpec.id())) {
             return;
         }
         if (!call.mayRunAgain()) {
@@ -216,16 +216,16 @@
         if (trySend(call, now)) {
             return;
         }
-        call.mRefusedBy.clear();
-        call.mNextTryAt = now + RETRY_NANOS;
+        call.mRejectedBy.clear();
+        call.mRetryAt = now + RETRY_NANOS;
         if (!call.mSpec.background() && isHopeless(call, now)) {
             refuseOrFail(call, now);
         }
     }
 
     private void giveUp(PendingCall call) {
-        if (call.mErrorAttempt != null) {
-            mOutputs.deliver(call.mSpec, call.mErrorAttempt);
+        if (call.mServerErrorAttempt != null) {
+            mOutputs.deliver(call.mSpec, call.mServerErrorAttempt);
         } else {
             mOutputs.fail(call.mSpec, false, "no attempt is left");
         }
@@ -241,28 +241,29 @@
         double pace = 0;
         for (Endpoint endpoint : serving) {
             slots += endpoint.record().slots();
-            pace += FastestAnswer.answerNanos(endpoint);
+            pace += LowestLatencyPlacement.expectedLatencyNanos(endpoint);
         }
-        long ahead = mCalls.values().stream().filter(other -> other.mOpen.isEmpty()).count();
+        long ahead =
+                mCalls.values().stream().filter(other -> other.mOpenAttempts.isEmpty()).count();
         double waitNanos = pace / serving.size() * (1 + (double) ahead / slots);
-        return now + (long) waitNanos - call.mSpec.endsAt() >= 0;
+        return now + (long) waitNanos - call.mSpec.deadline() >= 0;
     }
 
     private void refuseOrFail(PendingCall call, long now) {
-        if (call.mMayHaveRun > 0) {
+        if (call.mPossibleRuns > 0) {
             giveUp(call);
             return;
         }
-        long third = Nanos.toMillis(Math.max(0, call.mSpec.endsAt() - now)) / 3;
+        long third = Nanos.toMillis(Math.max(0, call.mSpec.deadline() - now)) / 3;
         long after = Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, third / 2));
         mOutputs.refuse(call.mSpec, after, "no endpoint can answer in time");
         end(call);
     }
 
     private void expire(PendingCall call) {
-        if (call.mErrorAttempt != null && call.mOpen.isEmpty()) {
-            mOutputs.deliver(call.mSpec, call.mErrorAttempt);
-        } else if (call.mMayHaveRun > 0 || !call.mOpen.isEmpty()) {
+        if (call.mServerErrorAttempt != null && call.mOpenAttempts.isEmpty()) {
+            mOutputs.deliver(call.mSpec, call.mServerErrorAttempt);
+        } else if (call.mPossibleRuns > 0 || !call.mOpenAttempts.isEmpty()) {
             mOutputs.fail(call.mSpec, true, "no answer in time");
         } else {
             mOutputs.refuse(call.mSpec, MIN_RETRY_AFTER_MILLIS, "no endpoint had room in time");
@@ -276,14 +277,14 @@
             return false;
         }
         long attempt = ++mAttempts;
-        call.mOpen.put(attempt, endpoint);
-        call.mUsed.add(endpoint.id());
-        call.mMayHaveRun++;
+        call.mOpenAttempts.put(attempt, endpoint);
+        call.mTriedEndpoints.add(endpoint.id());
+        call.mPossibleRuns++;
         call.mSentAt = now;
         mByAttempt.put(attempt, call);
         endpoint.onSent();
         mPlacement.onSent(endpoint);
-        long left = Math.max(1, Nanos.toMillis(call.mSpec.endsAt() - now));
+        long left = Math.max(1, Nanos.toMillis(call.mSpec.deadline() - now));
         mOutputs.send(call.mSpec, attempt, endpoint, left);
         return true;
     }
@@ -292,13 +293,13 @@
         Endpoint best = null;
         double bestCost = Double.MAX_VALUE;
         for (Endpoint endpoint : mFleet.serving(call.mSpec.service())) {
-            if (!hasRoom(endpoint, call) || call.mRefusedBy.contains(endpoint.id())) {
+            if (!hasRoom(endpoint, call) || call.mRejectedBy.contains(endpoint.id())) {
                 continue;
             }
-            if (endpoint.isAvoided(now) && call.mUsed.contains(endpoint.id())) {
+            if (endpoint.isAvoided(now) && call.mTriedEndpoints.contains(endpoint.id())) {
                 continue;
             }
-            boolean tried = call.mUsed.contains(endpoint.id());
+            boolean tried = call.mTriedEndpoints.contains(endpoint.id());
             double cost = mPlacement.cost(endpoint, tried, now);
             if (cost < bestCost) {
                 best = endpoint;
@@ -309,12 +310,12 @@
     }
 
     private boolean hasRoom(Endpoint endpoint, PendingCall call) {
-        int room = mPlacement.room(endpoint, call.mSpec.background());
-        return endpoint.active() < room && !call.mOpen.containsValue(endpoint);
+        int room = mPlacement.concurrencyLimit(endpoint, call.mSpec.background());
+        return endpoint.activeRequests() < room && !call.mOpenAttempts.containsValue(endpoint);
     }
 
     private void cancelOthers(PendingCall call, long kept) {
-        for (Long attempt : List.copyOf(call.mOpen.keySet())) {
+        for (Long attempt : List.copyOf(call.mOpenAttempts.keySet())) {
             if (attempt != kept) {
                 close(call, attempt);
             }
@@ -323,13 +324,13 @@
 
     private void end(PendingCall call) {
         mCalls.remove(call.mSpec.id());
-        for (Long attempt : List.copyOf(call.mOpen.keySet())) {
+        for (Long attempt : List.copyOf(call.mOpenAttempts.keySet())) {
             close(call, attempt);
         }
     }
 
     private void close(PendingCall call, long attempt) {
-        Endpoint endpoint = call.mOpen.remove(attempt);
+        Endpoint endpoint = call.mOpenAttempts.remove(attempt);
         mByAttempt.remove(attempt);
         if (endpoint != null) {
             endpoint.onEnded();
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallPlacement.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallPlacement.java
@@ -9,7 +9,7 @@
      *
      * @param background whether the next one is a background call
      */
-    int room(Endpoint endpoint, boolean background);
+    int concurrencyLimit(Endpoint endpoint, boolean background);
 
     /**
      * Returns what it costs to send a call to an endpoint; the least costly one gets it.
@@ -24,7 +24,7 @@
      *
      * @param backgroundShare the part that background calls may use
      */
-    static int room(Endpoint endpoint, boolean background, double backgroundShare) {
+    static int concurrencyLimit(Endpoint endpoint, boolean background, double backgroundShare) {
         int slots = endpoint.record().slots();
         return background ? (int) Math.ceil(backgroundShare * slots) : slots;
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallSpec.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallSpec.java
@@ -20,5 +20,5 @@
         Route route,
         ServiceName service,
         long arrivedAt,
-        long endsAt,
+        long deadline,
         boolean background) {}
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/UrgentCallsFirst.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/InteractiveFirstCallOrder.java
@@ -8,11 +8,11 @@
  * <p>Answers the load of a trainer that has hundreds of samples scored at once while people look
  * things up at the same service. Immutable and thread safe.
  */
-public final class UrgentCallsFirst implements CallOrder {
+public final class InteractiveFirstCallOrder implements CallOrder {
     private static final Comparator<CallSpec> ORDER =
             Comparator.comparing(CallSpec::background)
                     .thenComparing(call -> call.route().call().priority())
-                    .thenComparing(CallSpec::endsAt);
+                    .thenComparing(CallSpec::deadline);
 
     @Override
     public int compare(CallSpec a, CallSpec b) {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/FastestAnswer.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/LowestLatencyPlacement.java
@@ -11,7 +11,7 @@
  * <p>Answers the load of short calls to a service some of whose endpoints are slow or failing.
  * Immutable and thread safe.
  */
-public final class FastestAnswer implements CallPlacement {
+public final class LowestLatencyPlacement implements CallPlacement {
     private static final double REMOTE_DOMAIN_FACTOR = 1.15;
     private static final double TRIED_FACTOR = 4;
     private static final double AVOIDED_FACTOR = 1_000;
@@ -21,36 +21,37 @@
     private final double mBackgroundShare;
     private final double mRemoteFactor;
 
-    private FastestAnswer(FailureDomain domain, double backgroundShare, double remoteFactor) {
+    private LowestLatencyPlacement(
+            FailureDomain domain, double backgroundShare, double remoteFactor) {
         mDomain = domain;
         mRemoteFactor = remoteFactor;
         mBackgroundShare = backgroundShare;
     }
 
     /** Creates a placement for a process in a failure domain, which it prefers. */
-    static FastestAnswer in(FailureDomain domain, double backgroundShare) {
-        return new FastestAnswer(domain, backgroundShare, REMOTE_DOMAIN_FACTOR);
+    static LowestLatencyPlacement preferringDomain(FailureDomain domain, double backgroundShare) {
+        return new LowestLatencyPlacement(domain, backgroundShare, REMOTE_DOMAIN_FACTOR);
     }
 
     /** Creates a placement for which all failure domains are alike. */
-    static FastestAnswer anywhere(double backgroundShare) {
-        return new FastestAnswer(FailureDomain.of("any"), backgroundShare, 1);
+    static LowestLatencyPlacement ignoringDomains(double backgroundShare) {
+        return new LowestLatencyPlacement(FailureDomain.of("any"), backgroundShare, 1);
     }
 
     /** Returns how long an endpoint is expected to take for an answer, in nanoseconds. */
-    static double answerNanos(Endpoint endpoint) {
-        return endpoint.paceNanos() == 0 ? DEFAULT_ANSWER_NANOS : endpoint.paceNanos();
+    static double expectedLatencyNanos(Endpoint endpoint) {
+        return endpoint.latencyNanos() == 0 ? DEFAULT_ANSWER_NANOS : endpoint.latencyNanos();
     }
 
     @Override
-    public int room(Endpoint endpoint, boolean background) {
-        return CallPlacement.room(endpoint, background, mBackgroundShare);
+    public int concurrencyLimit(Endpoint endpoint, boolean background) {
+        return CallPlacement.concurrencyLimit(endpoint, background, mBackgroundShare);
     }
 
     @Override
     public double cost(Endpoint endpoint, boolean tried, long now) {
-        double load = (endpoint.active() + 1.0) / endpoint.record().slots();
-        double cost = answerNanos(endpoint) * (1 + load);
+        double load = (endpoint.activeRequests() + 1.0) / endpoint.record().slots();
+        double cost = expectedLatencyNanos(endpoint) * (1 + load);
         if (!endpoint.record().domain().equals(mDomain)) {
             cost *= mRemoteFactor;
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/PendingCall.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/PendingCall.java
@@ -18,25 +18,25 @@
  */
 final class PendingCall {
     final CallSpec mSpec;
-    final Map<Long, Endpoint> mOpen = new HashMap<>();
-    final Set<String> mRefusedBy = new HashSet<>();
-    final Set<String> mUsed = new HashSet<>();
-    @Nullable Long mErrorAttempt;
-    int mMayHaveRun;
-    long mNextTryAt;
+    final Map<Long, Endpoint> mOpenAttempts = new HashMap<>();
+    final Set<String> mRejectedBy = new HashSet<>();
+    final Set<String> mTriedEndpoints = new HashSet<>();
+    @Nullable Long mServerErrorAttempt;
+    int mPossibleRuns;
+    long mRetryAt;
     long mSentAt;
-    boolean mCommitted;
+    boolean mStreaming;
 
     PendingCall(CallSpec spec) {
         mSpec = spec;
-        mNextTryAt = spec.arrivedAt();
+        mRetryAt = spec.arrivedAt();
     }
 
     /** Returns whether one more endpoint may run the call. */
     boolean mayRunAgain() {
-        if (mMayHaveRun == 0) {
+        if (mPossibleRuns == 0) {
             return true;
         }
-        return mSpec.route().isIdempotent() && mMayHaveRun < mSpec.route().call().maxAttempts();
+        return mSpec.route().isIdempotent() && mPossibleRuns < mSpec.route().call().maxAttempts();
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/RoundRobinCalls.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/RoundRobinCallPlacement.java
@@ -1,15 +1,15 @@
 package org.ebonyrun.core.call;
 
 import org.ebonyrun.core.fleet.Endpoint;
-import org.ebonyrun.core.fleet.Turns;
+import org.ebonyrun.core.fleet.RoundRobinTurns;
 
 /**
  * A baseline: each endpoint in turn.
  *
  * <p>Not thread safe; confined to the duty of its machine.
  */
-final class RoundRobinCalls implements CallPlacement {
-    private final Turns mTurns = new Turns();
+final class RoundRobinCallPlacement implements CallPlacement {
+    private final RoundRobinTurns mTurns = new RoundRobinTurns();
     private final double mBackgroundShare;
 
     /**
@@ -17,18 +17,18 @@
      *
      * @param backgroundShare the part of an endpoint's slots that background calls may use
      */
-    RoundRobinCalls(double backgroundShare) {
+    RoundRobinCallPlacement(double backgroundShare) {
         mBackgroundShare = backgroundShare;
     }
 
     @Override
-    public int room(Endpoint endpoint, boolean background) {
-        return CallPlacement.room(endpoint, background, mBackgroundShare);
+    public int concurrencyLimit(Endpoint endpoint, boolean background) {
+        return CallPlacement.concurrencyLimit(endpoint, background, mBackgroundShare);
     }
 
     @Override
     public double cost(Endpoint endpoint, boolean tried, long now) {
-        return mTurns.of(endpoint);
+        return mTurns.lastTurn(endpoint);
     }
 
     @Override
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/fleet/Endpoint.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/fleet/Endpoint.java
@@ -52,10 +52,10 @@
 
     void update(EndpointRecord record) {
         mRecord = record;
-        record.versions().forEach(this::learnVersion);
+        record.versions().forEach(this::observeVersion);
     }
 
-    void setGone(boolean gone) {
+    void setRemoved(boolean gone) {
         mGone = gone;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Returns how many requests this process has there. */
-    public int active() {
+    public int activeRequests() {
         return mActive;
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** Notes a sign of life. */
-    public void onAlive() {
+    public void onReachable() {
         mFailures = 0;
         mAvoiding = false;
     }
@@ -107,7 +107,7 @@
     }
 
     /** Notes a weight version that the endpoint showed; an older one is ignored. */
-    public void learnVersion(String model, int version) {
+    public void observeVersion(String model, int version) {
         mVersions.merge(model, version, Math::max);
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** Notes that something arrived from the endpoint. */
-    public void onSign(long now) {
+    public void onReceived(long now) {
         mSignAt = now;
     }
 
@@ -135,7 +135,7 @@
      * Notes the time between two events of one stream, in nanoseconds. A long gap counts in part:
      * it may be that of one stream that gave way to others.
      */
-    public void onPace(double nanos, long now) {
+    public void recordLatency(double nanos, long now) {
         double counted = mPaceNanos == 0 ? nanos : Math.min(nanos, MAX_GAP * mPaceNanos);
         mPaceNanos = mPaceNanos == 0 ? counted : mPaceNanos + SMOOTHING * (counted - mPaceNanos);
         mPaceAt = now;
@@ -144,21 +144,21 @@
     /**
      * Returns the smoothed time between two events of a stream, in nanoseconds; zero if unknown.
      */
-    public double paceNanos() {
+    public double latencyNanos() {
         return mPaceNanos;
     }
 
     /**
      * Forgets a pace that has not been measured for a time, so that the endpoint is tried again.
      */
-    public void agePace(long now, long maxAgeNanos) {
+    public void expireLatency(long now, long maxAgeNanos) {
         if (mPaceNanos != 0 && now - mPaceAt > maxAgeNanos) {
             mPaceNanos = 0;
         }
     }
 
     /** Returns whether an endpoint with outdated weights may be tried now, and notes the try. */
-    public boolean tryAt(long now) {
+    public boolean startProbeIfDue(long now) {
         if (mTried && now - mTriedAt < TRY_NANOS) {
             return false;
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/fleet/Fleet.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/fleet/Fleet.java
@@ -25,7 +25,7 @@
  */
 public final class Fleet {
     /** How long after the store's return a lapsed record may take to come back. */
-    public static final long RETURN_NANOS = Nanos.ofMillis(2_000);
+    public static final long EXPIRED_GRACE_NANOS = Nanos.ofMillis(2_000);
 
     private final Map<String, Endpoint> mEndpoints = new HashMap<>();
     private final Map<String, Long> mLapsed = new HashMap<>();
@@ -49,12 +49,12 @@
         }
         if (known == null || record.incarnation() > known.record().incarnation()) {
             if (known != null) {
-                known.setGone(true);
+                known.setRemoved(true);
             }
             mEndpoints.put(record.id(), new Endpoint(record));
             return true;
         }
-        known.setGone(false);
+        known.setRemoved(false);
         known.update(record);
         return false;
     }
@@ -64,7 +64,7 @@
         if (!mEndpoints.containsKey(id)) {
             return;
         }
-        boolean returning = mStoreWasAway && now - mStoreBackAt < RETURN_NANOS;
+        boolean returning = mStoreWasAway && now - mStoreBackAt < EXPIRED_GRACE_NANOS;
         if (mStoreAway || returning) {
             mLapsed.put(id, now);
         } else {
@@ -87,13 +87,13 @@
     }
 
     /** Notes that the store does not answer. */
-    public void onStoreAway() {
+    public void onStoreUnavailable() {
         mStoreAway = true;
         mStoreWasAway = true;
     }
 
     /** Notes that the store answers again. */
-    public void onStoreBack(long now) {
+    public void onStoreAvailable(long now) {
         if (mStoreAway) {
             mStoreAway = false;
             mStoreBackAt = now;
@@ -102,7 +102,7 @@
 
     /** Ends endpoints that lapsed and did not come back in time. */
     public void onTick(long now) {
-        if (mStoreAway || mLapsed.isEmpty() || now - mStoreBackAt < RETURN_NANOS) {
+        if (mStoreAway || mLapsed.isEmpty() || now - mStoreBackAt < EXPIRED_GRACE_NANOS) {
             return;
         }
         List.copyOf(mLapsed.keySet()).forEach(this::drop);
@@ -112,7 +112,7 @@
     private void drop(String id) {
         Endpoint endpoint = mEndpoints.remove(id);
         if (endpoint != null) {
-            endpoint.setGone(true);
+            endpoint.setRemoved(true);
         }
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/fleet/Turns.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/fleet/RoundRobinTurns.java
@@ -8,12 +8,12 @@
  *
  * <p>Not thread safe; confined to the duty that owns the fleet.
  */
-public final class Turns {
+public final class RoundRobinTurns {
     private final Map<String, Long> mSentAt = new HashMap<>();
     private long mSent;
 
     /** Returns the turn in which an endpoint was last used; zero if it was not. */
-    public long of(Endpoint endpoint) {
+    public long lastTurn(Endpoint endpoint) {
         return mSentAt.getOrDefault(endpoint.id(), 0L);
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/Lease.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/Lease.java
@@ -76,7 +76,7 @@
     }
 
     /** Asks the service who holds the lease, and takes it if it is free. */
-    public void ask(long now) {
+    public void acquireIfDue(long now) {
         LeaseState state = state(now);
         if (state == LeaseState.ASKING || now - mNextAsk < 0) {
             return;
@@ -87,7 +87,7 @@
     }
 
     /** Handles the service's answer to taking or extending the lease. */
-    public void onReading(LeaseReading reading, long now) {
+    public void onRecord(LeaseRecord reading, long now) {
         mOutage = false;
         mHolder = reading.holder();
         if (reading.holder().isSameProcess(mSelf)) {
@@ -121,7 +121,7 @@
     }
 
     /** Forgets what is cached of another holder, for example because it can't be reached. */
-    public void forgetOther(long now) {
+    public void forgetOtherHolder(long now) {
         if (mState == LeaseState.OTHER) {
             mState = LeaseState.UNKNOWN;
             mNextAsk = now + RETRY_NANOS;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/LeaseEvents.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/LeaseListener.java
@@ -1,9 +1,9 @@
 package org.ebonyrun.core.lease;
 
 /** A state machine that holds leases and hears what the key-value service says of them. */
-public interface LeaseEvents {
+public interface LeaseListener {
     /** Handles the answer to taking a lease. */
-    void onLeaseReading(String key, LeaseReading reading, long now);
+    void onLeaseRecord(String key, LeaseRecord reading, long now);
 
     /** Handles the absence of an answer about a lease. */
     void onLeaseUnavailable(String key, long now);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/LeaseReading.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/LeaseRecord.java
@@ -6,4 +6,4 @@
  * @param holder who holds it
  * @param revision the revision of the key, which is the holder's fence
  */
-public record LeaseReading(LeaseHolder holder, long revision) {}
+public record LeaseRecord(LeaseHolder holder, long revision) {}
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutMachine.java
@@ -15,9 +15,9 @@
 import org.ebonyrun.core.attempt.AttemptMessage;
 import org.ebonyrun.core.attempt.SampleInfo;
 import org.ebonyrun.core.config.OperatorConfig;
-import org.ebonyrun.core.lease.LeaseEvents;
 import org.ebonyrun.core.lease.LeaseHolder;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseListener;
+import org.ebonyrun.core.lease.LeaseRecord;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -27,7 +27,7 @@
  *
  * <p>Not thread safe; confined to the rollout duty.
  */
-public final class RolloutMachine implements Ticking, LeaseEvents {
+public final class RolloutMachine implements Ticking, LeaseListener {
     private final LeaseHolder mSelf;
     private final CompletionBodies mBodies;
     private final StragglerPolicy mStragglers;
@@ -77,11 +77,11 @@
 
     /** Takes note that the owner to which a request was passed on can't be reached. */
     public void onOwnerUnreachable(TrainerId id, long now) {
-        trainer(id).lease().forgetOther(now);
+        trainer(id).lease().forgetOtherHolder(now);
     }
 
     @Override
-    public void onLeaseReading(String key, LeaseReading reading, long now) {
+    public void onLeaseRecord(String key, LeaseRecord reading, long now) {
         byKey(key, trainer -> trainer.onReading(reading, mConfig, now));
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TrainerSteps.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TrainerSteps.java
@@ -15,7 +15,7 @@
 import org.ebonyrun.core.config.OperatorConfig;
 import org.ebonyrun.core.lease.Lease;
 import org.ebonyrun.core.lease.LeaseHolder;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseRecord;
 import org.ebonyrun.core.lease.LeaseState;
 import org.jspecify.annotations.Nullable;
 
@@ -76,9 +76,9 @@
         dispatch(parked, config, now);
     }
 
-    void onReading(LeaseReading reading, OperatorConfig config, long now) {
+    void onReading(LeaseRecord reading, OperatorConfig config, long now) {
         long fence = mLease.fence();
-        mLease.onReading(reading, now);
+        mLease.onRecord(reading, now);
         if (!mLease.isHeld(now) || mLease.fence() != fence) {
             abandonAll();
         }
@@ -94,7 +94,7 @@
 
     void onRenewalRefused(long now) {
         mLease.onRenewalRefused(now);
-        mLease.ask(now);
+        mLease.acquireIfDue(now);
     }
 
     void onStored(StepManifest manifest, Optional<Fault> fault, OperatorConfig config, long now) {
@@ -160,7 +160,7 @@
 
     void onTick(OperatorConfig config, long now) {
         if (!mSteps.isEmpty() && mLease.state(now) == LeaseState.UNKNOWN) {
-            mLease.ask(now);
+            mLease.acquireIfDue(now);
         }
         if (!mSteps.isEmpty()) {
             mLease.renewIfDue(now);
@@ -187,7 +187,7 @@
             fail(parked.requestId(), ownerUnavailable("this entry does not own the step"));
         } else {
             mParked.add(parked);
-            mLease.ask(now);
+            mLease.acquireIfDue(now);
         }
     }
 
@@ -326,7 +326,7 @@
             mParked.clear();
             parked.forEach(request -> dispatch(request, config, now));
         } else {
-            mLease.ask(now);
+            mLease.acquireIfDue(now);
         }
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RoundRobinPlacement.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RoundRobinPlacement.java
@@ -1,7 +1,7 @@
 package org.ebonyrun.core.step;
 
 import org.ebonyrun.core.fleet.Endpoint;
-import org.ebonyrun.core.fleet.Turns;
+import org.ebonyrun.core.fleet.RoundRobinTurns;
 
 /**
  * A baseline: each endpoint in turn, all its slots.
@@ -9,7 +9,7 @@
  * <p>Not thread safe; confined to the duty of its machine.
  */
 final class RoundRobinPlacement implements SamplePlacement {
-    private final Turns mTurns = new Turns();
+    private final RoundRobinTurns mTurns = new RoundRobinTurns();
 
     @Override
     public int concurrencyLimit(Endpoint endpoint, double bestPace) {
@@ -18,7 +18,7 @@
 
     @Override
     public double cost(Endpoint endpoint, SampleProgress sample, double bestPace) {
-        return mTurns.of(endpoint);
+        return mTurns.lastTurn(endpoint);
     }
 
     @Override
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleScheduler.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleScheduler.java
@@ -71,7 +71,7 @@
         Endpoint choice = null;
         double least = Double.MAX_VALUE;
         for (Endpoint endpoint : pool.endpoints()) {
-            boolean full = endpoint.active() >= mPlacement.concurrencyLimit(endpoint, best);
+            boolean full = endpoint.activeRequests() >= mPlacement.concurrencyLimit(endpoint, best);
             if (full || !isFit(endpoint, sample, now)) {
                 continue;
             }
@@ -96,8 +96,8 @@
         }
         for (Endpoint endpoint : pool(sample, now).endpoints()) {
             boolean outdated = endpoint.version(step.model()) < step.minVersion();
-            boolean room = endpoint.active() < endpoint.record().slots();
-            if (outdated && room && !endpoint.isAvoided(now) && endpoint.tryAt(now)) {
+            boolean room = endpoint.activeRequests() < endpoint.record().slots();
+            if (outdated && room && !endpoint.isAvoided(now) && endpoint.startProbeIfDue(now)) {
                 return Optional.of(endpoint);
             }
         }
@@ -143,8 +143,8 @@
     private static double bestPace(List<Endpoint> endpoints, long now) {
         double best = 0;
         for (Endpoint endpoint : endpoints) {
-            endpoint.agePace(now, PACE_AGE_NANOS);
-            double pace = endpoint.paceNanos();
+            endpoint.expireLatency(now, PACE_AGE_NANOS);
+            double pace = endpoint.latencyNanos();
             if (pace > 0 && (best == 0 || pace < best)) {
                 best = pace;
             }
@@ -176,15 +176,17 @@
         }
         Pool pool = pool(sample, now);
         double best = pool.bestPace();
-        if (best == 0 || endpoint.paceNanos() < SLOW_FACTOR * best) {
+        if (best == 0 || endpoint.latencyNanos() < SLOW_FACTOR * best) {
             return "";
         }
         for (Endpoint other : pool.endpoints()) {
-            boolean room = other.active() < mPlacement.concurrencyLimit(other, best);
+            boolean room = other.activeRequests() < mPlacement.concurrencyLimit(other, best);
             if (SpeedProportionalPlacement.isFast(other, best)
                     && isFit(other, sample, now)
                     && room) {
-                return "endpoint is slow: " + Nanos.toMillis((long) endpoint.paceNanos()) + " ms";
+                return "endpoint is slow: "
+                        + Nanos.toMillis((long) endpoint.latencyNanos())
+                        + " ms";
             }
         }
         return "";
@@ -192,7 +194,7 @@
 
     private boolean isElsewhereIdle(SampleProgress sample, long now) {
         for (Endpoint other : pool(sample, now).endpoints()) {
-            boolean idle = 2 * other.active() < other.record().slots();
+            boolean idle = 2 * other.activeRequests() < other.record().slots();
             if (other != sample.mEndpoint && idle && isFit(other, sample, now)) {
                 return true;
             }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SpeedProportionalPlacement.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SpeedProportionalPlacement.java
@@ -14,23 +14,25 @@
 
     /** Returns whether an endpoint is about as fast as the best one. */
     static boolean isFast(Endpoint endpoint, double bestPace) {
-        return endpoint.paceNanos() > 0 && endpoint.paceNanos() < TOLERANCE * bestPace;
+        return endpoint.latencyNanos() > 0 && endpoint.latencyNanos() < TOLERANCE * bestPace;
     }
 
     @Override
     public int concurrencyLimit(Endpoint endpoint, double bestPace) {
         int slots = endpoint.record().slots();
-        if (endpoint.paceNanos() == 0 || bestPace == 0) {
+        if (endpoint.latencyNanos() == 0 || bestPace == 0) {
             return slots;
         }
-        double share = Math.min(1, TOLERANCE * bestPace / endpoint.paceNanos());
+        double share = Math.min(1, TOLERANCE * bestPace / endpoint.latencyNanos());
         return Math.max(1, (int) Math.round(share * slots));
     }
 
     @Override
     public double cost(Endpoint endpoint, SampleProgress sample, double bestPace) {
-        double pace = endpoint.paceNanos() == 0 ? 1 : endpoint.paceNanos() / Math.max(1, bestPace);
-        double cost = (endpoint.active() + 1.0) / endpoint.record().slots() * Math.max(1, pace);
+        double pace =
+                endpoint.latencyNanos() == 0 ? 1 : endpoint.latencyNanos() / Math.max(1, bestPace);
+        double cost =
+                (endpoint.activeRequests() + 1.0) / endpoint.record().slots() * Math.max(1, pace);
         return endpoint.id().equals(sample.mLastEndpointId) ? cost + 1 : cost;
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepMachine.java
@@ -226,12 +226,12 @@
         if (sample == null || sample.mState != State.RUNNING || sample.mEndpoint == null) {
             return;
         }
-        sample.mEndpoint.onAlive();
-        sample.mEndpoint.onSign(now);
+        sample.mEndpoint.onReachable();
+        sample.mEndpoint.onReceived(now);
         sample.mRunVersion = version;
         sample.mLastEventAt = now;
         if (version > 0 && !sample.mStep.mSpec.model().isEmpty()) {
-            sample.mEndpoint.learnVersion(sample.mStep.mSpec.model(), version);
+            sample.mEndpoint.observeVersion(sample.mStep.mSpec.model(), version);
         }
         checkVersion(sample, version, now);
     }
@@ -270,7 +270,7 @@
         }
         if (version > 0) {
             sample.mRunVersion = version;
-            sample.mEndpoint.learnVersion(sample.mStep.mSpec.model(), version);
+            sample.mEndpoint.observeVersion(sample.mStep.mSpec.model(), version);
         }
         if (number != sample.mEvents.size() + 1) {
             mOutputs.cancelRun(run, "event " + number + " after " + sample.mEvents.size());
@@ -282,9 +282,9 @@
             return;
         }
         if (sample.mRunEvents > 0) {
-            sample.mEndpoint.onPace(now - sample.mLastEventAt, now);
+            sample.mEndpoint.recordLatency(now - sample.mLastEventAt, now);
         }
-        sample.mEndpoint.onSign(now);
+        sample.mEndpoint.onReceived(now);
         sample.mRunEvents++;
         sample.mLastEventAt = now;
         sample.mEvents.add(data);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/EndpointState.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/EndpointState.java
@@ -9,7 +9,7 @@
  * @param busy whether an order is being carried out
  * @param orders how many orders it has accepted since its start
  */
-public record EndpointState(Map<String, Integer> versions, boolean busy, long orders) {
+public record EndpointState(Map<String, Integer> versions, boolean busy, long acceptedOrders) {
     /** Copies the versions. */
     public EndpointState {
         versions = Map.copyOf(versions);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/EnginePools.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/EnginePools.java
@@ -25,7 +25,7 @@
      * @param engines the engines that serve
      * @param lag how many versions before the newest the model's trainer accepts
      */
-    static List<Endpoint> pool(List<Endpoint> engines, String model, int lag) {
+    static List<Endpoint> poolFor(List<Endpoint> engines, String model, int lag) {
         TreeSet<String> models = new TreeSet<>();
         engines.forEach(engine -> models.addAll(engine.models()));
         int index = models.headSet(model).size();
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/SwapMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/SwapMachine.java
@@ -106,7 +106,7 @@
      * @param fence the fencing token, higher than that of every holder before
      * @param quietNanos how long orders of another holder count
      */
-    public void onHolding(long fence, long quietNanos, long now) {
+    public void onLeaseAcquired(long fence, long quietNanos, long now) {
         begin(fence, quietNanos);
         mReadyAt = now + quietNanos;
     }
@@ -118,7 +118,7 @@
      * @param quietNanos how long orders of another holder count
      * @param ages how long ago endpoints were ordered
      */
-    public void onHolding(long fence, long quietNanos, OrderAges ages, long now) {
+    public void onLeaseAcquired(long fence, long quietNanos, OrderAges ages, long now) {
         begin(fence, quietNanos);
         mReadyAt = now;
         ages.own().forEach((id, age) -> mOwnOrders.put(id, now - age));
@@ -155,14 +155,14 @@
     }
 
     /** Stops giving orders. */
-    public void onReleased() {
+    public void onLeaseLost() {
         mHolding = false;
         mJobs.values().forEach(job -> job.mEndpoint.setLoading(false));
         mJobs.clear();
     }
 
     /** Returns whether this process plans. */
-    public boolean isHolding() {
+    public boolean holdsLease() {
         return mHolding;
     }
 
@@ -173,7 +173,7 @@
     }
 
     /** Notes that a trainer named a version; versions of a model only grow. */
-    public void onNamed(String model, int version, long now) {
+    public void onVersionNamed(String model, int version, long now) {
         Named known = mNamed.get(model);
         if (known == null || version > known.version()) {
             mNamed.put(model, new Named(version, now));
@@ -181,7 +181,7 @@
     }
 
     /** Returns the newest named version of a model; zero if none was named. */
-    public int named(String model) {
+    public int newestNamedVersion(String model) {
         Named named = mNamed.get(model);
         return named == null ? 0 : named.version();
     }
@@ -199,7 +199,7 @@
 
     /** Takes the state of an endpoint in. */
     public void onState(Endpoint endpoint, EndpointState state, long now) {
-        state.versions().forEach(endpoint::learnVersion);
+        state.versions().forEach(endpoint::observeVersion);
         Job job = mJobs.get(endpoint.id());
         if (job == null || job.mEndpoint != endpoint) {
             return;
@@ -210,7 +210,7 @@
         } else if (state.busy()) {
             job.mNextLookAt = now + NEXT_LOOK_NANOS;
         } else if (job.mOrder == null) {
-            order(job, state.orders(), now);
+            order(job, state.acceptedOrders(), now);
         } else if (now - job.mStartedAt > LOST_NANOS) {
             finish(job, now, 0);
         } else {
@@ -219,7 +219,7 @@
     }
 
     /** Notes that an endpoint did not tell its state. */
-    public void onNoState(Endpoint endpoint, long now) {
+    public void onStateUnavailable(Endpoint endpoint, long now) {
         Job job = mJobs.get(endpoint.id());
         if (job != null && job.mEndpoint == endpoint) {
             job.mInspecting = false;
@@ -236,7 +236,7 @@
         switch (reply) {
             case ACCEPTED -> job.mNextLookAt = now + FIRST_LOOK_NANOS;
             case HOLDS -> {
-                endpoint.learnVersion(job.mModel, job.mVersion);
+                endpoint.observeVersion(job.mModel, job.mVersion);
                 finish(job, now, 0);
             }
             case UNKNOWN -> job.mNextLookAt = now + RETRY_NANOS;
@@ -277,12 +277,12 @@
             finish(job, now, 0);
         } else if (job.mInspecting) {
             if (now - job.mNextLookAt > INSPECT_TIMEOUT_NANOS) {
-                onNoState(job.mEndpoint, now);
+                onStateUnavailable(job.mEndpoint, now);
             }
         } else if (now - job.mNextLookAt >= 0) {
             job.mInspecting = true;
             job.mNextLookAt = now;
-            mOutputs.inspect(job.mEndpoint);
+            mOutputs.requestState(job.mEndpoint);
         }
     }
 
@@ -294,7 +294,7 @@
                 new SwapOrder(
                         job.mEndpoint.id(), job.mModel, job.mVersion, mode, mFence, expectedOrders);
         job.mOrder = order;
-        mOutputs.order(job.mEndpoint, order);
+        mOutputs.sendOrder(job.mEndpoint, order);
     }
 
     private void finish(Job job, long now, long retryNanos) {
@@ -308,11 +308,11 @@
     private void plan(String model, int named, boolean aheadOnly, long now) {
         int lag = mLags.getOrDefault(model, DEFAULT_LAG);
         List<Endpoint> all = engines(model);
-        List<Endpoint> engines = mPools ? EnginePools.pool(all, model, lag) : all;
+        List<Endpoint> engines = mPools ? EnginePools.poolFor(all, model, lag) : all;
         int needed = Math.max(mBounds.getOrDefault(model, 0), named - lag);
         engines.sort(
                 Comparator.comparingInt((Endpoint endpoint) -> endpoint.version(model))
-                        .thenComparingInt(Endpoint::active)
+                        .thenComparingInt(Endpoint::activeRequests)
                         .thenComparing(Endpoint::id));
         int oldest = 0;
         for (Endpoint endpoint : engines) {
@@ -347,7 +347,7 @@
         mJobs.put(endpoint.id(), job);
         endpoint.setLoading(true);
         job.mInspecting = true;
-        mOutputs.inspect(endpoint);
+        mOutputs.requestState(endpoint);
     }
 
     private List<Endpoint> engines(String model) {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
@@ -9,9 +9,9 @@
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.lease.Lease;
-import org.ebonyrun.core.lease.LeaseEvents;
 import org.ebonyrun.core.lease.LeaseHolder;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseListener;
+import org.ebonyrun.core.lease.LeaseRecord;
 import org.ebonyrun.core.lease.LeaseState;
 import org.jspecify.annotations.Nullable;
 
@@ -25,7 +25,7 @@
  *
  * <p>Not thread safe; confined to the weight duty.
  */
-public final class WeightPlanner implements Ticking, LeaseEvents {
+public final class WeightPlanner implements Ticking, LeaseListener {
     /** Greatest share of a service's endpoints that swap at once. */
     public static final double MAX_SWAPPING_SHARE = 0.34;
 
@@ -117,10 +117,10 @@
     }
 
     @Override
-    public void onLeaseReading(String key, LeaseReading reading, long now) {
+    public void onLeaseRecord(String key, LeaseRecord reading, long now) {
         Plan plan = byKey(key);
         if (plan != null) {
-            plan.mLease.onReading(reading, now);
+            plan.mLease.onRecord(reading, now);
         }
     }
 
@@ -149,7 +149,7 @@
     public void onTick(long now) {
         for (Plan plan : mPlans.values()) {
             if (plan.mLease.state(now) == LeaseState.UNKNOWN) {
-                plan.mLease.ask(now);
+                plan.mLease.acquireIfDue(now);
             }
             plan.mLease.renewIfDue(now);
             if (plan.mLease.isHeld(now) && now - plan.mNextPoll >= 0) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallMachineTest.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import org.ebonyrun.base.id.FailureDomain;
 import org.ebonyrun.base.time.Nanos;
-import org.ebonyrun.core.fleet.Endpoints;
+import org.ebonyrun.core.fleet.EndpointFixtures;
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.core.policy.Policy;
@@ -40,18 +40,24 @@
     }
 
     private static Route route(RouteKind kind, int priority) {
-        return Endpoints.route(
+        return EndpointFixtures.route(
                 kind, new CallOptions(800, 150, ATTEMPTS, priority), StepOptions.NONE);
     }
 
     private static CallSpec call(long id, RouteKind kind, boolean background, long now) {
         return new CallSpec(
-                id, "r" + id, route(kind, 1), Endpoints.SERVICE, now, now + DEADLINE, background);
+                id,
+                "r" + id,
+                route(kind, 1),
+                EndpointFixtures.SERVICE,
+                now,
+                now + DEADLINE,
+                background);
     }
 
     private void endpoints(int count, int slots) {
         for (int i = 1; i <= count; i++) {
-            mFleet.onRecord(Endpoints.record("e" + i, slots, 1));
+            mFleet.onRecord(EndpointFixtures.record("e" + i, slots, 1));
         }
     }
 
@@ -59,12 +65,12 @@
     void anAnswerIsDeliveredOnce() {
         endpoints(1, 4);
         mMachine.onCall(call(1, RouteKind.IDEMPOTENT, false, 0), 0);
-        mMachine.onAttemptEnd(1, AttemptEnd.ANSWERED, Nanos.ofMillis(20));
+        mMachine.onAttemptEnd(1, AttemptOutcome.ANSWERED, Nanos.ofMillis(20));
         mMachine.onTick(DEADLINE);
 
         assertThat(mOutputs.mEnds.get(1L), is("delivered 1"));
         assertThat(mOutputs.mEndCounts.get(1L), is(1));
-        assertThat(mFleet.get("e1").active(), is(0));
+        assertThat(mFleet.get("e1").activeRequests(), is(0));
     }
 
     @ParameterizedTest
@@ -74,7 +80,7 @@
     void aCallThatMayHaveRunIsNotRepeatedUnlessIdempotent(RouteKind kind) {
         endpoints(2, 4);
         mMachine.onCall(call(1, kind, false, 0), 0);
-        mMachine.onAttemptEnd(1, AttemptEnd.LOST, 1);
+        mMachine.onAttemptEnd(1, AttemptOutcome.LOST, 1);
         mMachine.onTick(Nanos.ofMillis(300));
 
         assertThat(mOutputs.mSent.size(), is(1));
@@ -83,9 +89,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = AttemptEnd.class,
+            value = AttemptOutcome.class,
             names = {"NOT_RUN", "WRONG_INSTANCE", "UNREACHABLE"})
-    void aCallThatDidNotRunGoesToAnotherEndpoint(AttemptEnd end) {
+    void aCallThatDidNotRunGoesToAnotherEndpoint(AttemptOutcome end) {
         endpoints(2, 4);
         mMachine.onCall(call(1, RouteKind.ONCE, false, 0), 0);
         String first = mOutputs.last().endpoint();
@@ -99,8 +105,8 @@
     void anIdempotentCallIsRepeatedUpToTheAttemptsOfItsRoute() {
         endpoints(3, 4);
         mMachine.onCall(call(1, RouteKind.IDEMPOTENT, false, 0), 0);
-        mMachine.onAttemptEnd(1, AttemptEnd.SERVER_ERROR, 1);
-        mMachine.onAttemptEnd(2, AttemptEnd.SERVER_ERROR, 2);
+        mMachine.onAttemptEnd(1, AttemptOutcome.SERVER_ERROR, 1);
+        mMachine.onAttemptEnd(2, AttemptOutcome.SERVER_ERROR, 2);
 
         assertThat(mOutputs.mSent.size(), is(ATTEMPTS));
         assertThat(mOutputs.mEnds.get(1L), is("delivered 2"));
@@ -114,11 +120,11 @@
         assertThat(mOutputs.mSent.size(), is(1));
         mMachine.onTick(Nanos.ofMillis(76));
         assertThat(mOutputs.mSent.size(), is(2));
-        mMachine.onAttemptEnd(2, AttemptEnd.ANSWERED, Nanos.ofMillis(90));
+        mMachine.onAttemptEnd(2, AttemptOutcome.ANSWERED, Nanos.ofMillis(90));
 
         assertThat(mOutputs.mEnds.get(1L), is("delivered 2"));
         assertThat(mOutputs.mCancelled, contains(1L));
-        assertThat(mFleet.get("e1").active() + mFleet.get("e2").active(), is(0));
+        assertThat(mFleet.get("e1").activeRequests() + mFleet.get("e2").activeRequests(), is(0));
     }
 
     @Test
@@ -128,7 +134,7 @@
         mMachine.onCall(call(1, RouteKind.IDEMPOTENT, false, 0), 0);
         mMachine.onTick(Nanos.ofMillis(76));
         assertThat(mOutputs.mSent.size(), is(1));
-        mMachine.onAttemptEnd(1, AttemptEnd.LOST, Nanos.ofMillis(90));
+        mMachine.onAttemptEnd(1, AttemptOutcome.LOST, Nanos.ofMillis(90));
 
         assertThat(mOutputs.mSent.size(), is(2));
     }
@@ -137,10 +143,10 @@
     private String endpointAfterASlowAnswerOfE1() {
         endpoints(1, 4);
         mMachine.onCall(call(1, RouteKind.IDEMPOTENT, false, 0), 0);
-        mMachine.onAttemptEnd(1, AttemptEnd.ANSWERED, Nanos.ofMillis(70));
+        mMachine.onAttemptEnd(1, AttemptOutcome.ANSWERED, Nanos.ofMillis(70));
         endpoints(2, 4);
         mMachine.onCall(call(2, RouteKind.IDEMPOTENT, false, 0), Nanos.ofMillis(70));
-        mMachine.onAttemptEnd(2, AttemptEnd.ANSWERED, Nanos.ofMillis(80));
+        mMachine.onAttemptEnd(2, AttemptOutcome.ANSWERED, Nanos.ofMillis(80));
         mMachine.onCall(call(3, RouteKind.IDEMPOTENT, false, 0), Nanos.ofMillis(80));
         return mOutputs.last().endpoint();
     }
@@ -161,8 +167,8 @@
     @ValueSource(booleans = {true, false})
     void theOwnDomainIsPreferredUnlessThatIsLeftOut(boolean preferred) {
         mMachine = machine(preferred ? Policy.ALL : Policy.ALL.without(Mechanism.OWN_DOMAIN));
-        mFleet.onRecord(Endpoints.record("e1", 4, 1, "b"));
-        mFleet.onRecord(Endpoints.record("e2", 4, 1, "a"));
+        mFleet.onRecord(EndpointFixtures.record("e1", 4, 1, "b"));
+        mFleet.onRecord(EndpointFixtures.record("e2", 4, 1, "a"));
         mMachine.onCall(call(1, RouteKind.IDEMPOTENT, false, 0), 0);
 
         assertThat(mOutputs.last().endpoint(), is(preferred ? "e2" : "e1"));
@@ -230,7 +236,7 @@
         mMachine.onAbandoned(1, 5);
 
         assertThat(mOutputs.mCancelled, contains(1L));
-        assertThat(mFleet.get("e1").active(), is(0));
+        assertThat(mFleet.get("e1").activeRequests(), is(0));
         assertThat(mMachine.size(), is(0));
     }
 
@@ -259,11 +265,11 @@
             open.removeAll(mOutputs.mCancelled);
             for (Long attempt : List.copyOf(open)) {
                 if (random.nextInt(3) == 0) {
-                    AttemptEnd end = AttemptEnd.values()[random.nextInt(6)];
+                    AttemptOutcome end = AttemptOutcome.values()[random.nextInt(6)];
                     FakeCallOutputs.Sent sent = mOutputs.mSent.get((int) (attempt - 1));
-                    if (end == AttemptEnd.ANSWERED
-                            || end == AttemptEnd.SERVER_ERROR
-                            || end == AttemptEnd.LOST) {
+                    if (end == AttemptOutcome.ANSWERED
+                            || end == AttemptOutcome.SERVER_ERROR
+                            || end == AttemptOutcome.LOST) {
                         ran.computeIfAbsent(sent.call(), x -> new HashSet<>()).add(attempt);
                     }
                     open.remove(attempt);
@@ -285,7 +291,7 @@
                     }
                 });
         for (int i = 1; i <= 3; i++) {
-            assertThat(mFleet.get("e" + i).active(), is(0));
+            assertThat(mFleet.get("e" + i).activeRequests(), is(0));
         }
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/call/ServiceLoad.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/call/ServiceLoadSimulation.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.VirtualClock;
 import org.ebonyrun.core.fleet.Endpoint;
-import org.ebonyrun.core.fleet.Endpoints;
+import org.ebonyrun.core.fleet.EndpointFixtures;
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
@@ -23,7 +23,7 @@
  * <p>Lookups arrive at random, ten a second, and want an answer in 150 ms; a burst of scores, each
  * of which takes much longer, arrives every four seconds.
  */
-final class ServiceLoad implements CallOutputs {
+final class ServiceLoadSimulation implements CallOutputs {
     private static final long GOAL_NANOS = Nanos.ofMillis(150);
     private static final long LOOKUP_NANOS = Nanos.ofMillis(25);
     private static final long SCORE_NANOS = Nanos.ofMillis(195);
@@ -34,7 +34,7 @@
     private static final double LOOKUPS_PER_SECOND = 10;
 
     /** What came of a load: parts of all lookups and scores that were answered in time. */
-    record Outcome(double lookupsInGoal, double scoresAnswered) {}
+    record Outcome(double lookupsInTime, double scoresAnswered) {}
 
     private final VirtualClock mClock = new VirtualClock();
     private final Fleet mFleet = Fleet.create();
@@ -55,14 +55,14 @@
      * @param slowness how many times slower than normal each endpoint is
      * @param burst how many scores arrive at once
      */
-    ServiceLoad(
+    ServiceLoadSimulation(
             CallOrder order, CallPlacement placement, List<Double> slowness, int burst, long seed) {
         mMachine = CallMachine.create(mFleet, order, placement, this);
         mRandom = new Random(seed);
         mBurst = burst;
         for (int i = 0; i < slowness.size(); i++) {
             mSlowness.put("e" + i, slowness.get(i));
-            mFleet.onRecord(Endpoints.record("e" + i, 6, 1));
+            mFleet.onRecord(EndpointFixtures.record("e" + i, 6, 1));
         }
         mClock.scheduleEvery(TICK_NANOS, mMachine::onTick);
         mClock.scheduleEvery(BURST_NANOS, this::burst);
@@ -70,14 +70,14 @@
     }
 
     /** Plays the load. */
-    Outcome play(long seconds) {
+    Outcome run(long seconds) {
         mClock.runUntil(Nanos.ofMillis(seconds * 1_000));
         long scores = mAnswered.stream().filter(CallSpec::background).count();
         return new Outcome(mInGoal / (double) mLookups, scores / (double) mScores);
     }
 
     private static Route route(int priority) {
-        return Endpoints.route(
+        return EndpointFixtures.route(
                 RouteKind.IDEMPOTENT,
                 new CallOptions(3_000, Nanos.toMillis(GOAL_NANOS), 3, priority),
                 StepOptions.NONE);
@@ -102,7 +102,13 @@
         // Both kinds have the same priority, as on deployments whose operators set none.
         CallSpec call =
                 new CallSpec(
-                        id, "c" + id, route(1), Endpoints.SERVICE, now, now + deadline, background);
+                        id,
+                        "c" + id,
+                        route(1),
+                        EndpointFixtures.SERVICE,
+                        now,
+                        now + deadline,
+                        background);
         mMachine.onCall(call, now);
     }
 
@@ -116,7 +122,7 @@
                 mClock.now() + takes,
                 now -> {
                     if (mOpen.remove(attempt)) {
-                        mMachine.onAttemptEnd(attempt, AttemptEnd.ANSWERED, now);
+                        mMachine.onAttemptEnd(attempt, AttemptOutcome.ANSWERED, now);
                     }
                 });
     }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/fleet/Endpoints.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/fleet/EndpointFixtures.java
@@ -12,14 +12,14 @@
 import org.ebonyrun.core.route.WeightedService;
 
 /** Records of endpoints for tests. */
-public final class Endpoints {
+public final class EndpointFixtures {
     /** The service of all records here. */
     public static final ServiceName SERVICE = ServiceName.of("engines");
 
     /** The model of all records here. */
     public static final String MODEL = "m";
 
-    private Endpoints() {}
+    private EndpointFixtures() {}
 
     /** Returns a record of an endpoint that serves. */
     public static EndpointRecord record(String id, int slots, int version) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/fleet/FleetTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/fleet/FleetTest.java
@@ -15,12 +15,12 @@
     private final Fleet mFleet = Fleet.create();
 
     private int serving() {
-        return mFleet.serving(Endpoints.SERVICE).size();
+        return mFleet.serving(EndpointFixtures.SERVICE).size();
     }
 
     @Test
     void aRemovedRecordEndsTheEndpointAtOnceWhileTheStoreWorks() {
-        mFleet.onRecord(Endpoints.record("e", 4, 1));
+        mFleet.onRecord(EndpointFixtures.record("e", 4, 1));
         mFleet.onRemoved("e", SECOND);
 
         assertThat(serving(), is(0));
@@ -28,9 +28,9 @@
 
     @Test
     void aRecordThatLapsesInAnOutageIsKeptUntilItHadTimeToComeBack() {
-        mFleet.onRecord(Endpoints.record("e", 4, 1));
-        mFleet.onStoreAway();
-        mFleet.onStoreBack(10 * SECOND);
+        mFleet.onRecord(EndpointFixtures.record("e", 4, 1));
+        mFleet.onStoreUnavailable();
+        mFleet.onStoreAvailable(10 * SECOND);
         mFleet.onRemoved("e", 10 * SECOND);
         mFleet.onTick(11 * SECOND);
         assertThat(serving(), is(1));
@@ -41,11 +41,11 @@
 
     @Test
     void aRecordThatComesBackInTimeStays() {
-        mFleet.onRecord(Endpoints.record("e", 4, 1));
-        mFleet.onStoreAway();
-        mFleet.onStoreBack(10 * SECOND);
+        mFleet.onRecord(EndpointFixtures.record("e", 4, 1));
+        mFleet.onStoreUnavailable();
+        mFleet.onStoreAvailable(10 * SECOND);
         mFleet.onSnapshot(List.of(), 10 * SECOND);
-        mFleet.onRecord(Endpoints.record("e", 4, 1));
+        mFleet.onRecord(EndpointFixtures.record("e", 4, 1));
         mFleet.onTick(20 * SECOND);
 
         assertThat(serving(), is(1));
@@ -53,55 +53,55 @@
 
     @Test
     void aLeavingEndpointGetsNoWork() {
-        mFleet.onRecord(Endpoints.record("e", 0, 4, 1, true));
+        mFleet.onRecord(EndpointFixtures.record("e", 0, 4, 1, true));
 
         assertThat(serving(), is(0));
     }
 
     @Test
     void aNewIncarnationKnowsNothingOfTheOneBefore() {
-        mFleet.onRecord(Endpoints.record("e", 100, 4, 3, false));
+        mFleet.onRecord(EndpointFixtures.record("e", 100, 4, 3, false));
         Endpoint before = mFleet.get("e");
         before.onSent();
         before.onFailure(0);
-        mFleet.onRecord(Endpoints.record("e", 200, 4, 1, false));
+        mFleet.onRecord(EndpointFixtures.record("e", 200, 4, 1, false));
         Endpoint after = mFleet.get("e");
 
         assertThat(after, not(sameInstance(before)));
         assertThat(before.isServing(), is(false));
-        assertThat(after.active(), is(0));
+        assertThat(after.activeRequests(), is(0));
         assertThat(after.isAvoided(1), is(false));
-        assertThat(after.version(Endpoints.MODEL), is(1));
+        assertThat(after.version(EndpointFixtures.MODEL), is(1));
     }
 
     @Test
     void aLateRecordOfAnOlderIncarnationChangesNothing() {
-        mFleet.onRecord(Endpoints.record("e", 200, 4, 5, false));
-        mFleet.onRecord(Endpoints.record("e", 100, 4, 3, true));
+        mFleet.onRecord(EndpointFixtures.record("e", 200, 4, 5, false));
+        mFleet.onRecord(EndpointFixtures.record("e", 100, 4, 3, true));
 
         assertThat(serving(), is(1));
-        assertThat(mFleet.get("e").version(Endpoints.MODEL), is(5));
+        assertThat(mFleet.get("e").version(EndpointFixtures.MODEL), is(5));
     }
 
     @Test
     void versionsNeverFallWithinAnIncarnation() {
-        mFleet.onRecord(Endpoints.record("e", 4, 5));
-        mFleet.get("e").learnVersion(Endpoints.MODEL, 7);
-        mFleet.onRecord(Endpoints.record("e", 4, 6));
+        mFleet.onRecord(EndpointFixtures.record("e", 4, 5));
+        mFleet.get("e").observeVersion(EndpointFixtures.MODEL, 7);
+        mFleet.onRecord(EndpointFixtures.record("e", 4, 6));
 
-        assertThat(mFleet.get("e").version(Endpoints.MODEL), is(7));
+        assertThat(mFleet.get("e").version(EndpointFixtures.MODEL), is(7));
     }
 
     @Test
     void failuresKeepWorkAwayForLongerAndLonger() {
-        mFleet.onRecord(Endpoints.record("e", 4, 1));
+        mFleet.onRecord(EndpointFixtures.record("e", 4, 1));
         Endpoint endpoint = mFleet.get("e");
         endpoint.onFailure(0);
         assertThat(endpoint.isAvoided(Nanos.ofMillis(399)), is(true));
         assertThat(endpoint.isAvoided(Nanos.ofMillis(400)), is(false));
         endpoint.onFailure(0);
         assertThat(endpoint.isAvoided(Nanos.ofMillis(799)), is(true));
-        endpoint.onAlive();
+        endpoint.onReachable();
         assertThat(endpoint.isAvoided(1), is(false));
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/lease/LeaseTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/lease/LeaseTest.java
@@ -32,8 +32,8 @@
 
     @Test
     void lapsesByTheTimeAtWhichItWasAskedFor() {
-        mLease.ask(0);
-        mLease.onReading(new LeaseReading(SELF, 9), Nanos.ofMillis(1_500));
+        mLease.acquireIfDue(0);
+        mLease.onRecord(new LeaseRecord(SELF, 9), Nanos.ofMillis(1_500));
         assertThat(mLease.fence(), is(9L));
         assertThat(mLease.isHeld(TTL - 1), is(true));
         assertThat(mLease.isHeld(TTL), is(false));
@@ -41,15 +41,15 @@
 
     @Test
     void asksOnceAtATime() {
-        mLease.ask(0);
-        mLease.ask(1);
+        mLease.acquireIfDue(0);
+        mLease.acquireIfDue(1);
         assertThat(mAcquires, is(1));
     }
 
     @Test
     void aHolderGoesOnWhileTheServiceIsAway() {
-        mLease.ask(0);
-        mLease.onReading(new LeaseReading(SELF, 9), 0);
+        mLease.acquireIfDue(0);
+        mLease.onRecord(new LeaseRecord(SELF, 9), 0);
         mLease.renewIfDue(TTL / 2);
         mLease.onUnavailable(TTL / 2);
         assertThat(mRenewals, is(1));
@@ -60,17 +60,17 @@
 
     @Test
     void onlyAHolderGoesOnWhileTheServiceIsAway() {
-        mLease.ask(0);
-        mLease.onReading(new LeaseReading(OTHER, 8), 0);
-        mLease.ask(TTL);
+        mLease.acquireIfDue(0);
+        mLease.onRecord(new LeaseRecord(OTHER, 8), 0);
+        mLease.acquireIfDue(TTL);
         mLease.onUnavailable(TTL);
         assertThat(mLease.state(TTL), is(LeaseState.UNKNOWN));
     }
 
     @Test
     void knowledgeOfAnotherHolderAges() {
-        mLease.ask(0);
-        mLease.onReading(new LeaseReading(OTHER, 8), 0);
+        mLease.acquireIfDue(0);
+        mLease.onRecord(new LeaseRecord(OTHER, 8), 0);
         assertThat(mLease.state(1), is(LeaseState.OTHER));
         assertThat(mLease.state(TTL), is(LeaseState.UNKNOWN));
     }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/RolloutMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/RolloutMachineTest.java
@@ -25,7 +25,7 @@
 import org.ebonyrun.core.config.ClassSpec;
 import org.ebonyrun.core.config.OperatorConfig;
 import org.ebonyrun.core.lease.LeaseHolder;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseRecord;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -168,7 +168,7 @@
     @Test
     void passesRequestsOnToTheOwnerOnce() {
         submit("p");
-        mMachine.onLeaseReading(KEY, new LeaseReading(OTHER, 4), 0);
+        mMachine.onLeaseRecord(KEY, new LeaseRecord(OTHER, 4), 0);
         assertThat(mOut.mForwardedTo, contains(OTHER.vm()));
         mMachine.onRequest(99, new StepRequest.Cancel(TRAINER, 1), true, 0);
         assertThat(requireNonNull(reply(99).fault()).code(), is(FaultCode.OWNER_UNAVAILABLE));
@@ -179,7 +179,7 @@
         start();
         long request = openPull("", 5, 0);
         mMachine.onLeaseRenewed(KEY, false, 1);
-        mMachine.onLeaseReading(KEY, new LeaseReading(OTHER, 4), 2);
+        mMachine.onLeaseRecord(KEY, new LeaseRecord(OTHER, 4), 2);
         assertThat(requireNonNull(reply(request).fault()).code(), is(FaultCode.OWNER_UNAVAILABLE));
         assertThat(mMachine.dump(3), empty());
     }
@@ -210,7 +210,7 @@
     }
 
     private void own() {
-        mMachine.onLeaseReading(KEY, new LeaseReading(SELF, 3), 0);
+        mMachine.onLeaseRecord(KEY, new LeaseRecord(SELF, 3), 0);
     }
 
     private long submit(String prompt) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/StepMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/StepMachineTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Random;
 import org.ebonyrun.base.time.Nanos;
-import org.ebonyrun.core.fleet.Endpoints;
+import org.ebonyrun.core.fleet.EndpointFixtures;
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.core.policy.Policy;
@@ -38,7 +38,7 @@
     private StepMachine mMachine = StepMachine.create(mFleet, Policy.ALL, mOutputs);
 
     private static Route route(boolean singleVersion) {
-        return Endpoints.route(
+        return EndpointFixtures.route(
                 RouteKind.STEPS,
                 new CallOptions(10_000, 500, 3, 0),
                 new StepOptions(7_500, 40_000, singleVersion));
@@ -50,7 +50,8 @@
     }
 
     private static StepSpec step(int wanted, SampleSpec... samples) {
-        return new StepSpec(STEP, "x", "/", 3, Endpoints.MODEL, BOUND, wanted, List.of(samples));
+        return new StepSpec(
+                STEP, "x", "/", 3, EndpointFixtures.MODEL, BOUND, wanted, List.of(samples));
     }
 
     private void own(StepSpec spec, boolean singleVersion) {
@@ -62,7 +63,7 @@
     }
 
     private void endpoint(String id, int version) {
-        mFleet.onRecord(Endpoints.record(id, 8, version));
+        mFleet.onRecord(EndpointFixtures.record(id, 8, version));
     }
 
     private void events(long run, int from, int to, long now) {
@@ -142,7 +143,7 @@
         own(step(1, sample("a", "g", 1, false)), false);
         assertThat(mOutputs.mRuns, is(empty()));
 
-        mFleet.get("e").learnVersion(Endpoints.MODEL, 2);
+        mFleet.get("e").observeVersion(EndpointFixtures.MODEL, 2);
         mMachine.onTick(MILLI);
         assertThat(mOutputs.mRuns.size(), is(1));
     }
@@ -150,7 +151,7 @@
     @Test
     void anOutdatedEndpointIsTriedForTheNamedVersionOnceInAWhile() {
         endpoint("e", 1);
-        mMachine.onVersionNamed(Endpoints.MODEL, 3);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 3);
         own(step(1, sample("a", "g", 1, false), sample("b", "g", 1, false)), false);
         assertThat(mOutputs.mRuns.size(), is(1));
         assertThat(mOutputs.lastRun().terms().expectedVersion(), is(3));
@@ -274,7 +275,7 @@
     void withoutTriesARecordOfTheVersionIsAwaited() {
         leaveOut(Mechanism.TRY_OUTDATED);
         endpoint("e", 1);
-        mMachine.onVersionNamed(Endpoints.MODEL, 3);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 3);
         own(step(1, sample("a", "g", 1, false)), false);
         mMachine.onTick(200 * MILLI);
         assertThat(mOutputs.mRuns, is(empty()));
@@ -286,8 +287,8 @@
 
     @Test
     void aRunThatGaveWayToOthersStaysWhileItsEndpointWorks() {
-        mFleet.onRecord(Endpoints.record("e1", 2, 2));
-        mFleet.onRecord(Endpoints.record("e2", 2, 2));
+        mFleet.onRecord(EndpointFixtures.record("e1", 2, 2));
+        mFleet.onRecord(EndpointFixtures.record("e2", 2, 2));
         own(
                 step(
                         1,
@@ -334,7 +335,7 @@
 
     @Test
     void wantedGroupsRunBeforeThoseThatTakeLongest() {
-        mFleet.onRecord(Endpoints.record("e", 1, 2));
+        mFleet.onRecord(EndpointFixtures.record("e", 1, 2));
         own(step(1, sample("long", "g1", 900, false), sample("short", "g2", 10, false)), false);
 
         assertThat(mOutputs.lastRun().sample(), is("short"));
@@ -343,7 +344,7 @@
     @Test
     void withoutTheOrderSamplesRunAsTheyArrived() {
         leaveOut(Mechanism.SAMPLE_ORDER);
-        mFleet.onRecord(Endpoints.record("e", 1, 2));
+        mFleet.onRecord(EndpointFixtures.record("e", 1, 2));
         own(step(1, sample("long", "g1", 900, false), sample("short", "g2", 10, false)), false);
 
         assertThat(mOutputs.lastRun().sample(), is("long"));
@@ -362,7 +363,14 @@
         }
         StepSpec later =
                 new StepSpec(
-                        StepId.of("later"), "x", "/", 4, Endpoints.MODEL, BOUND, 1, List.of(more));
+                        StepId.of("later"),
+                        "x",
+                        "/",
+                        4,
+                        EndpointFixtures.MODEL,
+                        BOUND,
+                        1,
+                        List.of(more));
         mMachine.onStepAcquired(later, route(false), List.of(), List.of(), 0, 650 * MILLI);
         long atSlow =
                 mOutputs.mRuns.stream()
@@ -484,7 +492,7 @@
         mMachine.onStepEnded(STEP);
 
         assertThat(mOutputs.mOpenRuns.keySet(), is(empty()));
-        assertThat(mFleet.get("e").active(), is(0));
+        assertThat(mFleet.get("e").activeRequests(), is(0));
         mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
         assertThat(mOutputs.mStores, is(empty()));
     }
@@ -494,14 +502,15 @@
     void underRandomFaultsEachSampleIsListedOnceAndWhole(long seed) {
         Random random = new Random(seed);
         for (int i = 1; i <= 3; i++) {
-            mFleet.onRecord(Endpoints.record("e" + i, 2, 2));
+            mFleet.onRecord(EndpointFixtures.record("e" + i, 2, 2));
         }
         List<SampleSpec> samples = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             samples.add(sample("s" + i, "g" + i / 4, random.nextInt(100), i % 2 == 0));
         }
         StepSpec spec =
-                new StepSpec(STEP, "x", "/", 3, Endpoints.MODEL, BOUND, 5, List.copyOf(samples));
+                new StepSpec(
+                        STEP, "x", "/", 3, EndpointFixtures.MODEL, BOUND, 5, List.copyOf(samples));
         own(spec, false);
         Map<String, SampleResult> listed = drive(random);
 
@@ -510,7 +519,7 @@
                 .filter(SampleResult::done)
                 .forEach(result -> assertThat(result.text(), is("d1\nd2\nd3")));
         for (int i = 1; i <= 3; i++) {
-            assertThat(mFleet.get("e" + i).active(), is(0));
+            assertThat(mFleet.get("e" + i).activeRequests(), is(0));
         }
     }
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulation.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulation.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.VirtualClock;
 import org.ebonyrun.core.fleet.Endpoint;
-import org.ebonyrun.core.fleet.Endpoints;
+import org.ebonyrun.core.fleet.EndpointFixtures;
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.route.CallOptions;
 import org.ebonyrun.core.route.Route;
@@ -34,7 +34,7 @@
     private static final int MEAN_EVENTS = 20;
     private static final int LONG_EVENTS = 100;
     private static final Route ROUTE =
-            Endpoints.route(
+            EndpointFixtures.route(
                     RouteKind.STEPS,
                     new CallOptions(10_000, 500, 3, 0),
                     new StepOptions(7_500, 40_000, false));
@@ -89,7 +89,7 @@
         mCarriesTexts = carriesTexts;
         for (int i = 0; i < slowness.size(); i++) {
             mSlowness.put("e" + i, slowness.get(i));
-            mFleet.onRecord(Endpoints.record("e" + i, 8, 1));
+            mFleet.onRecord(EndpointFixtures.record("e" + i, 8, 1));
         }
         for (int i = 0; i < trainers; i++) {
             Trainer trainer = new Trainer(i);
@@ -121,7 +121,8 @@
         int wanted = (int) Math.ceil(0.9 * mGroups);
         StepId id = StepId.of(name);
         trainer.mSpec =
-                new StepSpec(id, "x", "/", trainer.mStep, Endpoints.MODEL, 1, wanted, samples);
+                new StepSpec(
+                        id, "x", "/", trainer.mStep, EndpointFixtures.MODEL, 1, wanted, samples);
         trainer.mAskedAt = now;
         trainer.mListed.clear();
         trainer.mMissing.clear();
@@ -158,7 +159,7 @@
         double pace =
                 EVENT_NANOS
                         * mSlowness.get(endpoint.id())
-                        * (1 + SLOWER_PER_RUN * endpoint.active());
+                        * (1 + SLOWER_PER_RUN * endpoint.activeRequests());
         mClock.schedule(
                 mClock.now() + (long) pace, now -> generate(run, sample, endpoint, event, now));
     }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/swap/EnginePoolsTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/swap/EnginePoolsTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ebonyrun.core.fleet.Endpoint;
-import org.ebonyrun.core.fleet.Endpoints;
+import org.ebonyrun.core.fleet.EndpointFixtures;
 import org.ebonyrun.core.fleet.Fleet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -23,16 +23,16 @@
         Fleet fleet = Fleet.create();
         for (int i = 0; i < count; i++) {
             String id = "e" + (100 + i);
-            fleet.onRecord(Endpoints.record(id, 6, 1));
+            fleet.onRecord(EndpointFixtures.record(id, 6, 1));
             for (int m = 1; m < models; m++) {
-                fleet.get(id).learnVersion("m" + m, 1);
+                fleet.get(id).observeVersion("m" + m, 1);
             }
         }
-        return fleet.serving(Endpoints.SERVICE);
+        return fleet.serving(EndpointFixtures.SERVICE);
     }
 
     private static List<String> models(int count) {
-        List<String> models = new ArrayList<>(List.of(Endpoints.MODEL));
+        List<String> models = new ArrayList<>(List.of(EndpointFixtures.MODEL));
         for (int m = 1; m < count; m++) {
             models.add("m" + m);
         }
@@ -51,7 +51,8 @@
     void aModelHasSoManyEnginesThatOneShareLoadsForEachVersion(
             int engines, int models, int lag, int expected) {
         for (String model : models(models)) {
-            assertThat(EnginePools.pool(engines(engines, models), model, lag).size(), is(expected));
+            assertThat(
+                    EnginePools.poolFor(engines(engines, models), model, lag).size(), is(expected));
         }
     }
 
@@ -59,7 +60,7 @@
     void everyEngineIsInAboutAsManyPools() {
         Map<String, Integer> pools = new HashMap<>();
         for (String model : models(4)) {
-            EnginePools.pool(engines(24, 4), model, 1)
+            EnginePools.poolFor(engines(24, 4), model, 1)
                     .forEach(engine -> pools.merge(engine.id(), 1, Integer::sum));
         }
 
@@ -77,9 +78,9 @@
         List<Endpoint> before = engines(24, 4);
         List<Endpoint> after = new ArrayList<>(before.subList(1, before.size()));
         Set<String> kept = new HashSet<>();
-        EnginePools.pool(before, "m2", 1).forEach(engine -> kept.add(engine.id()));
+        EnginePools.poolFor(before, "m2", 1).forEach(engine -> kept.add(engine.id()));
         long moved =
-                EnginePools.pool(after, "m2", 1).stream()
+                EnginePools.poolFor(after, "m2", 1).stream()
                         .filter(engine -> !kept.contains(engine.id()))
                         .count();
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/swap/SwapMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/swap/SwapMachineTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.fleet.Endpoint;
-import org.ebonyrun.core.fleet.Endpoints;
+import org.ebonyrun.core.fleet.EndpointFixtures;
 import org.ebonyrun.core.fleet.Fleet;
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.core.policy.Policy;
@@ -42,12 +42,12 @@
         final List<Long> mFenced = new ArrayList<>();
 
         @Override
-        public void inspect(Endpoint endpoint) {
+        public void requestState(Endpoint endpoint) {
             mInspected.add(endpoint);
         }
 
         @Override
-        public void order(Endpoint endpoint, SwapOrder order) {
+        public void sendOrder(Endpoint endpoint, SwapOrder order) {
             mOrders.add(order);
         }
 
@@ -69,13 +69,14 @@
     }
 
     private static RouteTable routes() {
-        return RouteTable.of(1, List.of(), Set.of(Endpoints.SERVICE), RouteTable.empty().limits());
+        return RouteTable.of(
+                1, List.of(), Set.of(EndpointFixtures.SERVICE), RouteTable.empty().limits());
     }
 
     @BeforeEach
     void start() {
         for (int i = 1; i <= ENDPOINTS; i++) {
-            mFleet.onRecord(Endpoints.record("e" + i, 4, 1));
+            mFleet.onRecord(EndpointFixtures.record("e" + i, 4, 1));
             mEngines.mVersions.put("e" + i, 1);
         }
         mMachine.onRoutes(routes(), false);
@@ -111,7 +112,7 @@
         int version = versions.get(endpoint.id());
         EndpointState state =
                 new EndpointState(
-                        Map.of(Endpoints.MODEL, version),
+                        Map.of(EndpointFixtures.MODEL, version),
                         busy,
                         mEngines.mCounts.getOrDefault(endpoint.id(), 0));
         mMachine.onState(endpoint, state, now);
@@ -119,7 +120,7 @@
 
     @Test
     void withoutTheLeaseNoOrderIsGiven() {
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
         run(0, 5 * Nanos.PER_SECOND);
 
         assertThat(mEngines.mOrders, is(empty()));
@@ -127,8 +128,8 @@
 
     @Test
     void aNewHolderWaitsBeforeItsFirstOrder() {
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
-        mMachine.onHolding(7, Nanos.ofMillis(3_000), 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
+        mMachine.onLeaseAcquired(7, Nanos.ofMillis(3_000), 0);
         run(0, Nanos.ofMillis(3_000));
         assertThat(mEngines.mOrders, is(empty()));
 
@@ -139,9 +140,9 @@
     @Test
     void aNewHolderOrdersAtOnceWhatTheOneBeforeHasNotOrderedLately() {
         OrderAges ages = new OrderAges(Map.of(), Map.of("e1", Nanos.ofMillis(1_000)));
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
-        mMachine.onStep(Endpoints.MODEL, 2, 2);
-        mMachine.onHolding(7, Nanos.ofMillis(3_000), ages, 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
+        mMachine.onStep(EndpointFixtures.MODEL, 2, 2);
+        mMachine.onLeaseAcquired(7, Nanos.ofMillis(3_000), ages, 0);
 
         run(0, Nanos.ofMillis(2_000));
         assertThat(ordered(), is(Set.of("e2", "e3", "e4", "e5")));
@@ -152,9 +153,9 @@
     @Test
     void aHolderGoesOnWithTheOrdersOfAnEarlierProcessOfItsVm() {
         OrderAges ages = new OrderAges(Map.of("e1", 0L), Map.of());
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
-        mMachine.onStep(Endpoints.MODEL, 2, 2);
-        mMachine.onHolding(7, Nanos.ofMillis(3_000), ages, 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
+        mMachine.onStep(EndpointFixtures.MODEL, 2, 2);
+        mMachine.onLeaseAcquired(7, Nanos.ofMillis(3_000), ages, 0);
 
         run(0, Nanos.ofMillis(500));
         assertThat(ordered(), hasItem("e1"));
@@ -164,14 +165,14 @@
     void theAgesOfOrdersAreToldToTheNextHolderAsLongAsTheyCount() {
         long quiet = Nanos.ofMillis(3_000);
         long now = Nanos.ofMillis(2_000);
-        mMachine.onHolding(7, quiet, 0);
+        mMachine.onLeaseAcquired(7, quiet, 0);
         assertThat(mMachine.orderAges(now), is(Optional.empty()));
 
         OrderAges before =
                 new OrderAges(Map.of("e1", Nanos.ofMillis(500)), Map.of("e1", 0L, "e2", now));
-        mMachine.onHolding(8, quiet, before.asEarlier(), 0);
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
-        mMachine.onStep(Endpoints.MODEL, 2, 2);
+        mMachine.onLeaseAcquired(8, quiet, before.asEarlier(), 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
+        mMachine.onStep(EndpointFixtures.MODEL, 2, 2);
         run(0, now);
         OrderAges ages = mMachine.orderAges(now).orElseThrow();
 
@@ -186,15 +187,15 @@
 
     @Test
     void eachNamedVersionIsLoadedByThePartThatFallsBelowTheBoundNext() {
-        mMachine.onHolding(7, 0, 0);
+        mMachine.onLeaseAcquired(7, 0, 0);
         long now = 0;
         for (int version = 2; version <= 7; version++) {
-            mMachine.onNamed(Endpoints.MODEL, version, now);
-            mMachine.onStep(Endpoints.MODEL, version, version - 1);
+            mMachine.onVersionNamed(EndpointFixtures.MODEL, version, now);
+            mMachine.onStep(EndpointFixtures.MODEL, version, version - 1);
             run(now, now + 4 * Nanos.PER_SECOND);
             now += 4 * Nanos.PER_SECOND;
-            for (Endpoint endpoint : mFleet.serving(Endpoints.SERVICE)) {
-                assertThat(endpoint.version(Endpoints.MODEL) >= version - 1, is(true));
+            for (Endpoint endpoint : mFleet.serving(EndpointFixtures.SERVICE)) {
+                assertThat(endpoint.version(EndpointFixtures.MODEL) >= version - 1, is(true));
             }
         }
 
@@ -203,9 +204,9 @@
     }
 
     private void nameTheSecondVersion(int minVersion) {
-        mMachine.onHolding(7, 0, 0);
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
-        mMachine.onStep(Endpoints.MODEL, 2, minVersion);
+        mMachine.onLeaseAcquired(7, 0, 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
+        mMachine.onStep(EndpointFixtures.MODEL, 2, minVersion);
         run(0, 6 * Nanos.PER_SECOND);
     }
 
@@ -233,27 +234,27 @@
     @Test
     void whatIsBelowItsBoundLoadsBeforeWhatWillBe() {
         String other = "a-model";
-        for (Endpoint endpoint : mFleet.serving(Endpoints.SERVICE)) {
-            endpoint.learnVersion(other, 1);
+        for (Endpoint endpoint : mFleet.serving(EndpointFixtures.SERVICE)) {
+            endpoint.observeVersion(other, 1);
         }
-        mMachine.onHolding(7, 0, 0);
-        mMachine.onNamed(other, 2, 0);
+        mMachine.onLeaseAcquired(7, 0, 0);
+        mMachine.onVersionNamed(other, 2, 0);
         mMachine.onStep(other, 2, 1);
-        mMachine.onNamed(Endpoints.MODEL, 3, 0);
-        mMachine.onStep(Endpoints.MODEL, 3, 2);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 3, 0);
+        mMachine.onStep(EndpointFixtures.MODEL, 3, 2);
         mMachine.onTick(Nanos.PER_SECOND);
         for (Endpoint endpoint : List.copyOf(mEngines.mInspected)) {
             answer(endpoint, Nanos.PER_SECOND);
         }
 
-        assertThat(mEngines.mOrders.get(0).model(), is(Endpoints.MODEL));
+        assertThat(mEngines.mOrders.get(0).model(), is(EndpointFixtures.MODEL));
     }
 
     @Test
     void aTrainerThatWantsTheNewestHasAllLoad() {
-        mMachine.onHolding(7, 0, 0);
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
-        mMachine.onStep(Endpoints.MODEL, 2, 2);
+        mMachine.onLeaseAcquired(7, 0, 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
+        mMachine.onStep(EndpointFixtures.MODEL, 2, 2);
         run(0, 6 * Nanos.PER_SECOND);
 
         assertThat(mEngines.mOrders.size(), is(ENDPOINTS));
@@ -261,10 +262,10 @@
 
     @Test
     void anOrderNamesTheCountOfOrdersBeforeIt() {
-        mMachine.onHolding(7, 0, 0);
+        mMachine.onLeaseAcquired(7, 0, 0);
         mEngines.mCounts.put("e1", 5);
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
-        mMachine.onStep(Endpoints.MODEL, 2, 2);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
+        mMachine.onStep(EndpointFixtures.MODEL, 2, 2);
         run(0, 6 * Nanos.PER_SECOND);
 
         for (SwapOrder order : mEngines.mOrders) {
@@ -277,8 +278,8 @@
             value = OrderReply.class,
             names = {"UNKNOWN", "CONFLICT", "REFUSED"})
     void anOrderThatDidNotCountIsGivenAgain(OrderReply reply) {
-        mMachine.onHolding(7, 0, 0);
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
+        mMachine.onLeaseAcquired(7, 0, 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
         long now = 0;
         for (; mEngines.mOrders.isEmpty(); now += TICK) {
             mMachine.onTick(now);
@@ -301,8 +302,8 @@
 
     @Test
     void aFencedHolderSaysSo() {
-        mMachine.onHolding(7, 0, 0);
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
+        mMachine.onLeaseAcquired(7, 0, 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
         mMachine.onTick(Nanos.PER_SECOND);
         Endpoint endpoint = mEngines.mInspected.get(0);
         answer(endpoint, Nanos.PER_SECOND);
@@ -314,28 +315,28 @@
 
     @Test
     void theAnswerToAnEarlierOrderSaysNothingOfALaterOne() {
-        mMachine.onHolding(7, 0, 0);
-        mMachine.onNamed(Endpoints.MODEL, 2, 0);
-        mMachine.onStep(Endpoints.MODEL, 2, 2);
+        mMachine.onLeaseAcquired(7, 0, 0);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 2, 0);
+        mMachine.onStep(EndpointFixtures.MODEL, 2, 2);
         mMachine.onTick(Nanos.PER_SECOND);
         Endpoint endpoint = mEngines.mInspected.get(0);
         answer(endpoint, Nanos.PER_SECOND);
         SwapOrder first = mEngines.mOrders.get(0);
         // A stream tells the version before the order is answered.
-        endpoint.learnVersion(Endpoints.MODEL, 2);
-        mMachine.onNamed(Endpoints.MODEL, 3, Nanos.PER_SECOND);
-        mMachine.onStep(Endpoints.MODEL, 3, 3);
+        endpoint.observeVersion(EndpointFixtures.MODEL, 2);
+        mMachine.onVersionNamed(EndpointFixtures.MODEL, 3, Nanos.PER_SECOND);
+        mMachine.onStep(EndpointFixtures.MODEL, 3, 3);
         long now = Nanos.PER_SECOND;
         do {
             now += TICK;
             mMachine.onTick(now);
-            mFleet.serving(Endpoints.SERVICE).stream()
+            mFleet.serving(EndpointFixtures.SERVICE).stream()
                     .filter(other -> other != endpoint)
-                    .forEach(other -> other.learnVersion(Endpoints.MODEL, 3));
+                    .forEach(other -> other.observeVersion(EndpointFixtures.MODEL, 3));
         } while (mEngines.mInspected.stream().filter(endpoint::equals).count() < 2);
         mMachine.onReply(endpoint, first, OrderReply.HOLDS, now);
 
-        assertThat(endpoint.version(Endpoints.MODEL), is(2));
+        assertThat(endpoint.version(EndpointFixtures.MODEL), is(2));
         mEngines.mVersions.put(endpoint.id(), 2);
         answer(endpoint, now);
         assertThat(mEngines.mOrders.get(mEngines.mOrders.size() - 1).version(), is(3));
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/WeightPlannerTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/WeightPlannerTest.java
@@ -13,7 +13,7 @@
 import org.ebonyrun.base.result.FaultCode;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.lease.LeaseHolder;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseRecord;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -104,7 +104,7 @@
 
     private void hold() {
         mPlanner.onTick(0);
-        mPlanner.onLeaseReading(WeightPlanner.leaseKey(SERVICE), new LeaseReading(SELF, 3), 0);
+        mPlanner.onLeaseRecord(WeightPlanner.leaseKey(SERVICE), new LeaseRecord(SELF, 3), 0);
     }
 
     private static VmId vm(int i) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DutyLeases.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DutyLeases.java
@@ -3,7 +3,7 @@
 import java.util.function.Supplier;
 import org.ebonyrun.base.duty.Command;
 import org.ebonyrun.base.duty.Duty;
-import org.ebonyrun.core.lease.LeaseEvents;
+import org.ebonyrun.core.lease.LeaseListener;
 import org.ebonyrun.core.lease.LeaseOutputs;
 import org.ebonyrun.daemon.store.LeaseClient;
 
@@ -14,7 +14,7 @@
  *
  * @param <M> the state machine of the duty
  */
-final class DutyLeases<M extends LeaseEvents> implements LeaseOutputs {
+final class DutyLeases<M extends LeaseListener> implements LeaseOutputs {
     private final Supplier<LeaseClient> mClient;
     private final Supplier<Duty<Command<M>>> mDuty;
 
@@ -30,7 +30,7 @@
                 .thenApply(
                         result ->
                                 result.<Command<M>>fold(
-                                        reading -> (m, now) -> m.onLeaseReading(key, reading, now),
+                                        reading -> (m, now) -> m.onLeaseRecord(key, reading, now),
                                         fault -> (m, now) -> m.onLeaseUnavailable(key, now)))
                 .thenAccept(command -> mDuty.get().post(command));
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallDesk.java
@@ -5,7 +5,7 @@
 import org.ebonyrun.base.id.FailureDomain;
 import org.ebonyrun.base.log.LogLine;
 import org.ebonyrun.base.time.Nanos;
-import org.ebonyrun.core.call.AttemptEnd;
+import org.ebonyrun.core.call.AttemptOutcome;
 import org.ebonyrun.core.call.CallMachine;
 import org.ebonyrun.core.call.CallOutputs;
 import org.ebonyrun.core.call.CallSpec;
@@ -119,7 +119,7 @@
                                 .with("request", call.requestId())
                                 .with("endpoint", endpoint.id())
                                 .with("attempt", attempt)
-                                .with("active", endpoint.active())
+                                .with("active", endpoint.activeRequests())
                                 .with("left_ms", leftMillis));
         exchange.setExchange(mCaller.send(request, exchange));
     }
@@ -285,7 +285,7 @@
     }
 
     @Override
-    public void onEnd(CallExchange exchange, AttemptEnd end) {
+    public void onEnd(CallExchange exchange, AttemptOutcome end) {
         CallSpec call = mSpecs.get(exchange.attempt());
         if (call == null) {
             return;
@@ -301,7 +301,7 @@
                         .with("detail", exchange.detail());
         mParts.log().write(exchange.withConnection(line));
         mSpecs.remove(exchange.attempt());
-        if (end == AttemptEnd.SERVER_ERROR) {
+        if (end == AttemptOutcome.SERVER_ERROR) {
             mErrorCounts.merge(call.id(), 1, Integer::sum);
             Long earlier = mErrors.put(call.id(), exchange.attempt());
             if (earlier != null) {
@@ -309,7 +309,7 @@
             }
         }
         mMachine.onAttemptEnd(exchange.attempt(), end, System.nanoTime());
-        if (end != AttemptEnd.SERVER_ERROR) {
+        if (end != AttemptOutcome.SERVER_ERROR) {
             mAttempts.remove(exchange.attempt());
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
@@ -2,7 +2,7 @@
 
 import java.io.ByteArrayOutputStream;
 import java.util.concurrent.Executor;
-import org.ebonyrun.core.call.AttemptEnd;
+import org.ebonyrun.core.call.AttemptOutcome;
 import org.ebonyrun.platform.EndpointProtocol;
 import org.ebonyrun.ports.http.HttpHead;
 import org.jspecify.annotations.Nullable;
@@ -23,7 +23,7 @@
         void onPiece(CallExchange exchange, byte[] piece);
 
         /** The attempt ended. */
-        void onEnd(CallExchange exchange, AttemptEnd end);
+        void onEnd(CallExchange exchange, AttemptOutcome end);
     }
 
     private final long mAttempt;
@@ -59,7 +59,7 @@
     @Override
     public void onHead(HttpHead head) {
         mHead = head;
-        boolean signed = EndpointProtocol.attemptEnd(head) == AttemptEnd.ANSWERED;
+        boolean signed = EndpointProtocol.attemptEnd(head) == AttemptOutcome.ANSWERED;
         mPassing = mStreaming && head.isSuccess() && signed;
         if (mPassing) {
             tell(() -> mSink.onHead(this, head));
@@ -78,14 +78,14 @@
     @Override
     public void onEnd() {
         HttpHead head = mHead;
-        AttemptEnd end = head == null ? AttemptEnd.LOST : EndpointProtocol.attemptEnd(head);
+        AttemptOutcome end = head == null ? AttemptOutcome.LOST : EndpointProtocol.attemptEnd(head);
         tell(() -> mSink.onEnd(this, end));
     }
 
     @Override
     public void onFailure(boolean sent, String detail) {
         mDetail = detail;
-        AttemptEnd end = sent ? AttemptEnd.LOST : AttemptEnd.UNREACHABLE;
+        AttemptOutcome end = sent ? AttemptOutcome.LOST : AttemptOutcome.UNREACHABLE;
         tell(() -> mSink.onEnd(this, end));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -382,14 +382,14 @@
 
             @Override
             public void onAway(String why) {
-                mFleet.onStoreAway();
+                mFleet.onStoreUnavailable();
                 mLog.write(LogLine.of("store.away").with("why", why));
             }
 
             @Override
             public void onBack() {
                 long now = System.nanoTime();
-                mFleet.onStoreBack(now);
+                mFleet.onStoreAvailable(now);
                 mWatches.forEach(StoreWatch::onStoreBack);
                 mLog.write(LogLine.of("store.back"));
             }
@@ -422,7 +422,7 @@
                     LogLine.of("version.named")
                             .with("model", named.model())
                             .with("version", named.version()));
-            mPlanner.machine().onNamed(named.model(), named.version(), System.nanoTime());
+            mPlanner.machine().onVersionNamed(named.model(), named.version(), System.nanoTime());
             mSamples.machine().onVersionNamed(named.model(), named.version());
         } else if (event instanceof OperatorEvent.RetireAsked retire) {
             mPlanner.onRetire(retire.vm());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerDesk.java
@@ -107,7 +107,7 @@
     }
 
     boolean isHolding() {
-        return mMachine.isHolding();
+        return mMachine.holdsLease();
     }
 
     /**
@@ -123,13 +123,13 @@
             mLastHolder = holder.text();
             mLastFence = holder.revision();
         }
-        if (mMachine.isHolding() && !mine && revision > mFence) {
+        if (mMachine.holdsLease() && !mine && revision > mFence) {
             release("the planner's key is " + (holder == null ? "gone" : holder.text()));
         }
     }
 
     private void release(String why) {
-        mMachine.onReleased();
+        mMachine.onLeaseLost();
         mPredecessor = true;
         mParts.log().write(LogLine.of("planner.released").with("why", why));
     }
@@ -140,7 +140,7 @@
     }
 
     private void releaseIfHolding(String why) {
-        if (mMachine.isHolding()) {
+        if (mMachine.holdsLease()) {
             release(why);
         }
     }
@@ -154,12 +154,12 @@
         StoreItem holder = mParts.directory().planner();
         boolean inherited = holder != null && mParts.self().isSuccessorOf(holder.text());
         boolean free = holder == null || inherited;
-        if (free && !mMachine.isHolding() && !mClaiming && !mDraining) {
+        if (free && !mMachine.holdsLease() && !mClaiming && !mDraining) {
             claimWhenDue(inherited, now);
         } else if (holder != null) {
             mClaimAt = 0;
         }
-        if (!mMachine.isHolding()) {
+        if (!mMachine.holdsLease()) {
             return;
         }
         if (mParts.lease().isValid(now)) {
@@ -231,13 +231,13 @@
         long quiet = Nanos.ofMillis(mSettings.get().limits().orderQuietMillis());
         if (mSameHolder) {
             // Orders of the same VM are those of one holder, whichever process gave them.
-            mMachine.onHolding(fence, quiet, ages.orElse(OrderAges.NONE), now);
+            mMachine.onLeaseAcquired(fence, quiet, ages.orElse(OrderAges.NONE), now);
         } else if (!mPredecessor) {
-            mMachine.onHolding(fence, quiet, OrderAges.NONE, now);
+            mMachine.onLeaseAcquired(fence, quiet, OrderAges.NONE, now);
         } else if (ages.isPresent()) {
-            mMachine.onHolding(fence, quiet, ages.get().asEarlier(), now);
+            mMachine.onLeaseAcquired(fence, quiet, ages.get().asEarlier(), now);
         } else {
-            mMachine.onHolding(fence, quiet, now);
+            mMachine.onLeaseAcquired(fence, quiet, now);
         }
         mParts.log()
                 .write(
@@ -309,7 +309,7 @@
     /** Begins a graceful stop: gives the planning up. */
     void onDrain() {
         mDraining = true;
-        if (mMachine.isHolding()) {
+        if (mMachine.holdsLease()) {
             giveUp();
         }
     }
@@ -325,7 +325,7 @@
     }
 
     @Override
-    public void inspect(Endpoint endpoint) {
+    public void requestState(Endpoint endpoint) {
         mCaller.request(EndpointProtocol.inspect(endpoint.record()), "endpoint.inspect")
                 .thenAcceptAsync(result -> onState(endpoint, result), mParts.executor());
     }
@@ -334,7 +334,7 @@
         long now = System.nanoTime();
         EndpointState state = result.fold(PlannerDesk::state, fault -> null);
         if (state == null) {
-            mMachine.onNoState(endpoint, now);
+            mMachine.onStateUnavailable(endpoint, now);
         } else {
             mMachine.onState(endpoint, state, now);
         }
@@ -353,7 +353,7 @@
     }
 
     @Override
-    public void order(Endpoint endpoint, SwapOrder order) {
+    public void sendOrder(Endpoint endpoint, SwapOrder order) {
         if (!mParts.lease().isValid(System.nanoTime())) {
             refuse(endpoint, order);
         } else if (isNoted()) {
@@ -368,7 +368,7 @@
     }
 
     private void give(Endpoint endpoint, SwapOrder order) {
-        if (!mMachine.isHolding() || order.fence() != mFence) {
+        if (!mMachine.holdsLease() || order.fence() != mFence) {
             refuse(endpoint, order);
             return;
         }
@@ -399,7 +399,7 @@
 
     @Override
     public void onFenced(long fence) {
-        if (mMachine.isHolding() && fence == mFence) {
+        if (mMachine.holdsLease() && fence == mFence) {
             release("an endpoint has seen a higher fence than " + fence);
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleDesk.java
@@ -85,7 +85,7 @@
                                 .with("run", run)
                                 .with("endpoint", endpoint.id())
                                 .with("version", endpoint.version(step.model()))
-                                .with("active", endpoint.active())
+                                .with("active", endpoint.activeRequests())
                                 .with("expected_version", terms.expectedVersion())
                                 .with("expected_tokens", sample.expectedTokens())
                                 .with("after", lastEvent));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/LeaseClient.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/LeaseClient.java
@@ -7,7 +7,7 @@
 import org.ebonyrun.base.result.Result;
 import org.ebonyrun.core.lease.Lease;
 import org.ebonyrun.core.lease.LeaseHolder;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseRecord;
 import org.ebonyrun.ports.kv.ConditionalWriter;
 import org.ebonyrun.ports.kv.KeyValueEntry;
 import org.ebonyrun.ports.kv.KeyValueStore;
@@ -38,7 +38,7 @@
     }
 
     /** Takes a lease if it is free, and tells who holds it now. */
-    public CompletableFuture<Result<LeaseReading>> acquire(String key) {
+    public CompletableFuture<Result<LeaseRecord>> acquire(String key) {
         return mWriter.put(
                         key,
                         Json.write(mSelf),
@@ -65,9 +65,9 @@
         return mStore.delete(key, revision);
     }
 
-    private CompletableFuture<Result<LeaseReading>> onOutcome(String key, WriteOutcome outcome) {
+    private CompletableFuture<Result<LeaseRecord>> onOutcome(String key, WriteOutcome outcome) {
         if (outcome.applied()) {
-            return recorded(key, new LeaseReading(mSelf, outcome.revision()));
+            return recorded(key, new LeaseRecord(mSelf, outcome.revision()));
         }
         return mStore.get(key)
                 .thenCompose(
@@ -81,7 +81,7 @@
     }
 
     /** Records the fence if the lease is ours. */
-    private CompletableFuture<Result<LeaseReading>> recorded(String key, LeaseReading reading) {
+    private CompletableFuture<Result<LeaseRecord>> recorded(String key, LeaseRecord reading) {
         if (!reading.holder().isSameProcess(mSelf)) {
             return CompletableFuture.completedFuture(Result.ok(reading));
         }
@@ -89,11 +89,11 @@
                 .thenApply(result -> result.map(ignored -> reading));
     }
 
-    private static Result<LeaseReading> reading(String key, Optional<KeyValueEntry> entry) {
+    private static Result<LeaseRecord> reading(String key, Optional<KeyValueEntry> entry) {
         return entry.flatMap(
                         found ->
                                 parse(found.value())
-                                        .map(holder -> new LeaseReading(holder, found.revision())))
+                                        .map(holder -> new LeaseRecord(holder, found.revision())))
                 .map(Result::ok)
                 .orElseGet(() -> Result.err(vanished(key)));
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLeases.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLeases.java
@@ -2,16 +2,16 @@
 
 import java.util.function.Supplier;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.core.lease.LeaseEvents;
+import org.ebonyrun.core.lease.LeaseListener;
 import org.ebonyrun.core.lease.LeaseOutputs;
-import org.ebonyrun.core.lease.LeaseReading;
+import org.ebonyrun.core.lease.LeaseRecord;
 
 /** Takes and extends leases for a duty of a virtual entry. Not thread safe. */
 final class VirtualLeases implements LeaseOutputs {
     private final VirtualEntry mEntry;
-    private final Supplier<LeaseEvents> mMachine;
+    private final Supplier<LeaseListener> mMachine;
 
-    VirtualLeases(VirtualEntry entry, Supplier<LeaseEvents> machine) {
+    VirtualLeases(VirtualEntry entry, Supplier<LeaseListener> machine) {
         mEntry = entry;
         mMachine = machine;
     }
@@ -31,10 +31,10 @@
         mEntry.whenDone(mEntry.mLeases.acquire(key), result -> onReading(key, result));
     }
 
-    private void onReading(String key, Result<LeaseReading> result) {
+    private void onReading(String key, Result<LeaseRecord> result) {
         result.fold(
                 reading -> {
-                    mMachine.get().onLeaseReading(key, reading, mEntry.now());
+                    mMachine.get().onLeaseRecord(key, reading, mEntry.now());
                     return true;
                 },
                 fault -> {
