--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
@@ -27,7 +27,7 @@
  *
  * <p>Not thread safe; confined to the entry's duty.
  */
-final class CallDesk implements CallOutputs, CallExchange.Sink {
+final class CallController implements CallOutputs, CallExchange.Listener {
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final int BAD_GATEWAY = 502;
@@ -49,7 +49,7 @@
         void onEnd(ScoreOutcome end, String score, int errors);
     }
 
-    private final EntryParts mParts;
+    private final HostedContext mParts;
     private final HttpCaller mCaller;
     private final CallMachine mMachine;
     private final Map<Long, Client> mClients = new HashMap<>();
@@ -60,14 +60,14 @@
     private final Map<Long, Integer> mErrorCounts = new HashMap<>();
     private long mCount;
 
-    CallDesk(EntryParts parts, HttpCaller caller, Fleet fleet, FailureDomain domain) {
+    CallController(HostedContext parts, HttpCaller caller, Fleet fleet, FailureDomain domain) {
         mParts = parts;
         mCaller = caller;
         mMachine = CallMachine.create(fleet, domain, parts.policy(), this);
     }
 
     /** Returns a number for a new call. */
-    long nextId() {
+    long nextCallId() {
         return ++mCount;
     }
 
@@ -79,13 +79,13 @@
     }
 
     /** Takes a call that scores a sample. */
-    void onScore(CallSpec spec, ScoreCall score, ScoreListener end, long now) {
+    void onScoreCall(CallSpec spec, ScoreCall score, ScoreListener end, long now) {
         mClients.put(spec.id(), new Client(null, score, end));
         mMachine.onCall(spec, now);
     }
 
     /** Ends the call of a caller that left. */
-    void onAbandoned(FrontExchange caller, long now) {
+    void onCallerDisconnected(FrontExchange caller, long now) {
         Long call = mCallOf.remove(caller);
         if (call != null) {
             mClients.remove(call);
@@ -94,7 +94,7 @@
         }
     }
 
-    int size() {
+    int openCalls() {
         return mMachine.size();
     }
 
@@ -248,7 +248,7 @@
     private @Nullable Client finish(CallSpec call) {
         Client client = mClients.remove(call.id());
         double seconds = (System.nanoTime() - call.arrivedAt()) / (double) Nanos.PER_SECOND;
-        mParts.metrics().onCallSeconds(seconds);
+        mParts.metrics().recordCallSeconds(seconds);
         if (client != null && client.caller() != null) {
             mCallOf.remove(client.caller());
         }
@@ -276,7 +276,7 @@
     }
 
     @Override
-    public void onPiece(CallExchange exchange, byte[] piece) {
+    public void onChunk(CallExchange exchange, byte[] piece) {
         CallSpec call = mSpecs.get(exchange.attempt());
         Client client = call == null ? null : mClients.get(call.id());
         if (client != null && client.caller() != null) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
@@ -10,17 +10,17 @@
 /**
  * One attempt of a call at an endpoint.
  *
- * <p>The I/O thread collects the answer; the entry's duty reads it after {@link Sink#onEnd}. With
- * {@code streaming}, pieces of a success are passed on as they arrive.
+ * <p>The I/O thread collects the answer; the entry's duty reads it after {@link Listener#onEnd}.
+ * With {@code streaming}, pieces of a success are passed on as they arrive.
  */
 final class CallExchange extends EndpointExchange {
     /** Hears of the attempt on the entry's duty. */
-    interface Sink {
+    interface Listener {
         /** The head of a stream arrived. */
         void onHead(CallExchange exchange, HttpHead head);
 
         /** A piece of a stream arrived. */
-        void onPiece(CallExchange exchange, byte[] piece);
+        void onChunk(CallExchange exchange, byte[] piece);
 
         /** The attempt ended. */
         void onEnd(CallExchange exchange, AttemptOutcome end);
@@ -28,12 +28,12 @@
 
     private final long mAttempt;
     private final boolean mStreaming;
-    private final Sink mSink;
+    private final Listener mSink;
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
     private boolean mPassing;
     private String mDetail = "";
 
-    CallExchange(long attempt, boolean streaming, Executor executor, Sink sink) {
+    CallExchange(long attempt, boolean streaming, Executor executor, Listener sink) {
         super(executor);
         mAttempt = attempt;
         mStreaming = streaming;
@@ -62,14 +62,14 @@
         boolean signed = EndpointProtocol.attemptEnd(head) == AttemptOutcome.ANSWERED;
         mPassing = mStreaming && head.isSuccess() && signed;
         if (mPassing) {
-            tell(() -> mSink.onHead(this, head));
+            runOnEventLoop(() -> mSink.onHead(this, head));
         }
     }
 
     @Override
     public void onData(byte[] data) {
         if (mPassing) {
-            tell(() -> mSink.onPiece(this, data));
+            runOnEventLoop(() -> mSink.onChunk(this, data));
         } else {
             mBody.writeBytes(data);
         }
@@ -79,13 +79,13 @@
     public void onEnd() {
         HttpHead head = mHead;
         AttemptOutcome end = head == null ? AttemptOutcome.LOST : EndpointProtocol.attemptEnd(head);
-        tell(() -> mSink.onEnd(this, end));
+        runOnEventLoop(() -> mSink.onEnd(this, end));
     }
 
     @Override
     public void onFailure(boolean sent, String detail) {
         mDetail = detail;
         AttemptOutcome end = sent ? AttemptOutcome.LOST : AttemptOutcome.UNREACHABLE;
-        tell(() -> mSink.onEnd(this, end));
+        runOnEventLoop(() -> mSink.onEnd(this, end));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EndpointExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EndpointExchange.java
@@ -53,7 +53,7 @@
     }
 
     /** Tells the entry's duty. */
-    final void tell(Runnable task) {
+    final void runOnEventLoop(Runnable task) {
         mExecutor.execute(task);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLease.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLease.java
@@ -62,7 +62,7 @@
     }
 
     /** Gives {@code use} the number of a valid lease, or zero if none can be had. */
-    void with(LongConsumer use, long now) {
+    void acquire(LongConsumer use, long now) {
         if (isValid(now)) {
             use.accept(mId);
             return;
@@ -95,7 +95,7 @@
     }
 
     /** Ends the lease, which removes all keys under it. */
-    void end() {
+    void release() {
         if (mId != 0) {
             mStore.end(mId);
             mId = 0;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLimits.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLimits.java
@@ -16,32 +16,34 @@
  * @param contactMillis after which time an entry that was cut off from the store must be up to date
  */
 public record EntryLimits(
-        long orderQuietMillis,
-        long graceMillis,
-        long keepMillis,
-        long configMillis,
-        long leavingMillis,
-        long contactMillis) {
+        long orderQuietPeriodMillis,
+        long gracePeriodMillis,
+        long retentionMillis,
+        long configDelayMillis,
+        long leavingDelayMillis,
+        long catchUpMillis) {
     /** What holds where the settings say nothing. */
     public static final EntryLimits DEFAULT =
             new EntryLimits(3_000, 8_000, 120_000, 2_000, 2_000, 3_000);
 
     /** Checks the limits. */
     public EntryLimits {
-        checkArgument(configMillis > 0, "config_within is not positive: %s", configMillis);
-        checkArgument(leavingMillis > 0, "leaving_within is not positive: %s", leavingMillis);
-        checkArgument(contactMillis > 0, "contact_within is not positive: %s", contactMillis);
+        checkArgument(
+                configDelayMillis > 0, "config_within is not positive: %s", configDelayMillis);
+        checkArgument(
+                leavingDelayMillis > 0, "leaving_within is not positive: %s", leavingDelayMillis);
+        checkArgument(catchUpMillis > 0, "contact_within is not positive: %s", catchUpMillis);
     }
 
     /** Reads limits; what is missing or can't be read has its default. */
     static EntryLimits read(SettingsNode node) {
         return new EntryLimits(
-                node.get("order_quiet").read(Units::millis, DEFAULT.orderQuietMillis),
-                node.get("grace").read(Units::millis, DEFAULT.graceMillis),
-                node.get("keep_results").read(Units::millis, DEFAULT.keepMillis),
-                positive(node.get("config_within"), DEFAULT.configMillis),
-                positive(node.get("leaving_within"), DEFAULT.leavingMillis),
-                positive(node.get("contact_within"), DEFAULT.contactMillis));
+                node.get("order_quiet").read(Units::millis, DEFAULT.orderQuietPeriodMillis),
+                node.get("grace").read(Units::millis, DEFAULT.gracePeriodMillis),
+                node.get("keep_results").read(Units::millis, DEFAULT.retentionMillis),
+                positive(node.get("config_within"), DEFAULT.configDelayMillis),
+                positive(node.get("leaving_within"), DEFAULT.leavingDelayMillis),
+                positive(node.get("contact_within"), DEFAULT.catchUpMillis));
     }
 
     private static long positive(SettingsNode node, long fallback) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryMetrics.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryMetrics.java
@@ -31,7 +31,7 @@
     static final String ATTEMPTS = "ebonyrun_entry_call_attempts";
 
     /** Runs of samples, by how they ended. */
-    static final String RUNS = "ebonyrun_entry_sample_runs";
+    static final String SAMPLE_RUNS = "ebonyrun_entry_sample_runs";
 
     /** Steps, by what happened to them. */
     static final String STEPS = "ebonyrun_entry_steps";
@@ -58,7 +58,7 @@
     }
 
     /** Notes how long a call took until its end. */
-    void onCallSeconds(double seconds) {
+    void recordCallSeconds(double seconds) {
         int bucket = 0;
         while (seconds > BOUNDS[bucket]) {
             bucket++;
@@ -73,7 +73,7 @@
      * @param gauges values that are read at this moment, by name
      * @param storeCalls calls to the shared store, by kind
      */
-    byte[] text(Map<String, Double> gauges, Map<String, Long> storeCalls) {
+    byte[] format(Map<String, Double> gauges, Map<String, Long> storeCalls) {
         List<MetricSnapshot> snapshots = new ArrayList<>();
         mCounts.forEach((name, ends) -> snapshots.add(counter(name, "end", ends)));
         snapshots.add(counter(STORE_CALLS, "kind", storeCalls));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
@@ -30,7 +30,7 @@
  *
  * <p>Not thread safe but for {@link #listener}; confined to the entry's duty.
  */
-final class FrontDesk implements StepReader.Answers {
+final class FrontHandler implements StepReader.ReadResponder {
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
     private static final int BAD_REQUEST = 400;
@@ -40,18 +40,18 @@
     private static final long RETRY_AFTER_MILLIS = 300;
     private static final byte[] NOTHING = new byte[0];
 
-    private final EntryParts mParts;
-    private final CallDesk mCalls;
-    private final StepOwner mSteps;
+    private final HostedContext mParts;
+    private final CallController mCalls;
+    private final StepOwnership mSteps;
     private final StepStore mStore;
     private final Supplier<RouteTable> mRoutes;
     private final RandomGenerator mRandom;
     private StepReader mReader;
 
-    FrontDesk(
-            EntryParts parts,
-            CallDesk calls,
-            StepOwner steps,
+    FrontHandler(
+            HostedContext parts,
+            CallController calls,
+            StepOwnership steps,
             StepStore store,
             Supplier<RouteTable> routes,
             RandomGenerator random) {
@@ -63,7 +63,7 @@
         mRandom = random;
     }
 
-    void bind(StepReader reader) {
+    void setReader(StepReader reader) {
         mReader = reader;
     }
 
@@ -77,7 +77,7 @@
 
             @Override
             public void onAbandoned(FrontExchange exchange) {
-                executor.execute(() -> mCalls.onAbandoned(exchange, System.nanoTime()));
+                executor.execute(() -> mCalls.onCallerDisconnected(exchange, System.nanoTime()));
             }
         };
     }
@@ -99,7 +99,7 @@
         } else if (call instanceof FrontCall.Routed routed) {
             route(exchange, id, routes, routed.path());
         } else {
-            missing(exchange, "step");
+            sendNotFound(exchange, "step");
         }
     }
 
@@ -114,7 +114,7 @@
                                     .with("host", host)
                                     .with("path", path)
                                     .with("config", routes.version()));
-            missing(exchange, "route");
+            sendNotFound(exchange, "route");
         } else if (route.get().kind() == RouteKind.STEPS) {
             submit(exchange, id, host, route.get());
         } else {
@@ -129,7 +129,13 @@
         long endsAt = now + Nanos.ofMillis(Math.max(1, Math.min(timeout, deadline)));
         CallSpec spec =
                 new CallSpec(
-                        mCalls.nextId(), id, route, route.pickService(mRandom), now, endsAt, false);
+                        mCalls.nextCallId(),
+                        id,
+                        route,
+                        route.pickService(mRandom),
+                        now,
+                        endsAt,
+                        false);
         mCalls.onCall(spec, exchange, now);
     }
 
@@ -146,12 +152,12 @@
             exchange.respond(BAD_REQUEST, FrontProtocol.own(id), NOTHING);
             return;
         }
-        KnownStep known = mParts.directory().get(spec.id());
+        StepStatus known = mParts.directory().get(spec.id());
         if (known != null && known.mManifest != null) {
             exchange.respond(ACCEPTED, FrontProtocol.own(id), NOTHING);
             return;
         }
-        if (mParts.isStoreAway()) {
+        if (mParts.isStoreUnavailable()) {
             refuse(exchange, id, "the shared store does not answer");
             return;
         }
@@ -198,7 +204,7 @@
     }
 
     private void end(FrontExchange exchange, StepId step) {
-        KnownStep known = mParts.directory().get(step);
+        StepStatus known = mParts.directory().get(step);
         if (known != null && known.mDone) {
             // Nothing runs that the end could stop.
             mParts.log().write(LogLine.of("step.end").with("step", step).with("done", true));
@@ -209,7 +215,7 @@
                 step,
                 exchange,
                 manifest ->
-                        mStore.end(step)
+                        mStore.markEnded(step)
                                 .thenAcceptAsync(
                                         result -> onEnded(exchange, step, result),
                                         mParts.executor()));
@@ -229,22 +235,22 @@
     }
 
     @Override
-    public void results(FrontExchange to, int total, int from, List<SampleResult> results) {
+    public void sendResults(FrontExchange to, int total, int from, List<SampleResult> results) {
         to.respond(OK, FrontProtocol.json(), ResultsEncoder.encode(total, from, results));
     }
 
     @Override
-    public void body(FrontExchange to, byte[] body) {
+    public void sendBody(FrontExchange to, byte[] body) {
         to.respond(OK, HttpHeaders.empty(), body);
     }
 
     @Override
-    public void missing(FrontExchange to, String what) {
+    public void sendNotFound(FrontExchange to, String what) {
         to.respond(NOT_FOUND, HttpHeaders.empty(), NOTHING);
     }
 
     @Override
-    public void unsure(FrontExchange to, Fault fault) {
+    public void sendFault(FrontExchange to, Fault fault) {
         mParts.log().write(LogLine.of("read.unsure").with("why", fault.detail()));
         to.respond(UNAVAILABLE, FrontProtocol.retryAfter("", RETRY_AFTER_MILLIS), NOTHING);
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryParts.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedContext.java
@@ -16,7 +16,7 @@
  * <p>Called on the entry's duty, but for {@link #executor} and {@link #policy}, which are thread
  * safe.
  */
-interface EntryParts {
+interface HostedContext {
     /** Runs tasks on the entry's duty. */
     Executor executor();
 
@@ -24,10 +24,10 @@
     Policy policy();
 
     /** Runs a task on the entry's duty after a time. */
-    void later(long nanos, Runnable task);
+    void schedule(long nanos, Runnable task);
 
     /** Returns whether the shared store does not answer. */
-    boolean isStoreAway();
+    boolean isStoreUnavailable();
 
     /** Returns the log. */
     EventLog log();
@@ -46,9 +46,9 @@
 
     /** Returns the revision of a step's owner key if this process wrote it; zero if not. */
     default long ownRevision(Commit commit, StepId id) {
-        String key = StepKeys.live(id, StepKeys.OWNER);
+        String key = StoreKeys.liveKey(id, StoreKeys.OWNER);
         for (StoreItem item : commit.current()) {
-            if (item.key().equals(key) && item.text().equals(self().text())) {
+            if (item.key().equals(key) && item.text().equals(self().format())) {
                 return item.revision();
             }
         }
@@ -56,7 +56,7 @@
     }
 
     /** Returns whether a configuration is known. */
-    boolean knowsRoutes();
+    boolean hasConfiguration();
 
     /** Returns the route of a stored step; empty if the configuration that is known has none. */
     Optional<Route> routeOf(StepManifest manifest);
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -53,7 +53,7 @@
  * <p>One I/O thread reads and writes all sockets; one duty holds all state and takes all decisions;
  * a bounded ring joins them. Thread safe: {@link #drain} may be called from any thread.
  */
-public final class HostedEntry implements EntryParts, DutyHandler<Runnable>, Closeable {
+public final class HostedEntry implements HostedContext, DutyHandler<Runnable>, Closeable {
     private static final int RING = 16_384;
     private static final long TICK_NANOS = Nanos.ofMillis(20);
     private static final long SWEEP_NANOS = Nanos.ofMillis(500);
@@ -81,12 +81,12 @@
     private final StepDirectory mDirectory;
     private final EntryLease mLease;
     private final List<StoreWatch> mWatches = new ArrayList<>();
-    private final CallDesk mCalls;
-    private final SampleDesk mSamples;
-    private final StepOwner mSteps;
+    private final CallController mCalls;
+    private final SampleController mSamples;
+    private final StepOwnership mSteps;
     private final StepReader mReader;
-    private final PlannerDesk mPlanner;
-    private final FrontDesk mFrontDesk;
+    private final PlannerController mPlanner;
+    private final FrontHandler mFrontDesk;
     private final TCPNIOTransport mTransport;
     private final FrontServer mFront;
     private volatile RouteTable mRoutes = RouteTable.empty();
@@ -94,7 +94,7 @@
     private volatile boolean mReady;
     private volatile boolean mDraining;
     private volatile int mOwnedSteps;
-    private final ObservedStore mStore;
+    private final InstrumentedStore mStore;
     private final StoreHealth mHealth = new StoreHealth(healthListener());
     private long mSweepAt;
 
@@ -106,46 +106,50 @@
         mTransport = transport();
         HttpCaller caller = HttpCaller.on(mTransport, this::onDroppedAnswer);
         mStore =
-                new ObservedStore(
+                new InstrumentedStore(
                         StoreClient.create(settings.store(), caller),
-                        fault -> executor().execute(() -> mHealth.onDoubt(System.nanoTime())));
+                        fault -> executor().execute(() -> mHealth.onCallFault(System.nanoTime())));
         StepStore stepStore = new StepStore(mStore);
         Random random = new Random();
         mDirectory = new StepDirectory(log);
         mLease = new EntryLease(mStore, executor(), log, this::onLeaseLost);
-        mCalls = new CallDesk(this, caller, mFleet, settings.domain());
-        mSamples = new SampleDesk(this, caller, mFleet, (host, path) -> mRoutes.find(host, path));
-        mSteps = new StepOwner(this, stepStore, mSamples.machine(), random);
+        mCalls = new CallController(this, caller, mFleet, settings.domain());
+        mSamples =
+                new SampleController(
+                        this, caller, mFleet, (host, path) -> mRoutes.find(host, path));
+        mSteps = new StepOwnership(this, stepStore, mSamples.machine(), random);
         mPlanner =
-                new PlannerDesk(this, caller, mStore, stepStore, mFleet, () -> mSettings, random);
-        mFrontDesk = new FrontDesk(this, mCalls, mSteps, stepStore, () -> mRoutes, random);
+                new PlannerController(
+                        this, caller, mStore, stepStore, mFleet, () -> mSettings, random);
+        mFrontDesk = new FrontHandler(this, mCalls, mSteps, stepStore, () -> mRoutes, random);
         mReader = new StepReader(this, mStore, stepStore, mSteps, mFrontDesk);
-        mFrontDesk.bind(mReader);
+        mFrontDesk.setReader(mReader);
         mSamples.bind(mCalls, mSteps, mReader);
         mWatches.add(
                 watch(
                         OperatorDecoder.PREFIX,
-                        () -> StorePaces.operator(mSettings.limits(), isIdle()),
+                        () -> WatchTimings.forOperatorKeys(mSettings.limits(), isIdle()),
                         items -> items.forEach(this::onOperator),
                         change -> onOperator(change.item())));
         mWatches.add(
                 watch(
                         EndpointDecoder.PREFIX,
-                        () -> StorePaces.endpoints(mSettings.limits(), isIdle()),
+                        () -> WatchTimings.forEndpointKeys(mSettings.limits(), isIdle()),
                         this::onEndpoints,
                         this::onEndpoint));
         mWatches.add(
                 watch(
-                        StepKeys.LIVE,
-                        () -> StorePaces.steps(mSettings.limits(), isIdle()),
+                        StoreKeys.LIVE_PREFIX,
+                        () -> WatchTimings.forStepKeys(mSettings.limits(), isIdle()),
                         this::onAllLive,
                         this::onLiveChange));
         mTransport.start();
-        FrontServer.bind(mTransport, settings.ready(), new ReadyDesk(() -> mReady), () -> mLimits);
+        FrontServer.bind(
+                mTransport, settings.ready(), new ReadinessHandler(() -> mReady), () -> mLimits);
         FrontServer.bind(
                 mTransport,
                 settings.metrics(),
-                new MetricsDesk(executor(), () -> mMetrics.text(gauges(), mStore.counts())),
+                new MetricsHandler(executor(), () -> mMetrics.format(gauges(), mStore.counts())),
                 () -> mLimits);
         mFront =
                 FrontServer.bind(
@@ -167,7 +171,7 @@
         log.write(
                 LogLine.of("start")
                         .with("vm", settings.vm())
-                        .with("process", entry.mSelf.text())
+                        .with("process", entry.mSelf.format())
                         .with("left_out", settings.policy().disabled()));
         return entry;
     }
@@ -198,13 +202,13 @@
     }
 
     @Override
-    public void later(long nanos, Runnable task) {
+    public void schedule(long nanos, Runnable task) {
         mLater.add(new Timed(System.nanoTime() + nanos, task));
     }
 
     @Override
-    public boolean isStoreAway() {
-        return mHealth.isAway();
+    public boolean isStoreUnavailable() {
+        return mHealth.isUnavailable();
     }
 
     @Override
@@ -214,14 +218,14 @@
 
     private Map<String, Double> gauges() {
         Map<String, Double> gauges = new TreeMap<>();
-        gauges.put("ebonyrun_entry_open_calls", (double) mCalls.size());
+        gauges.put("ebonyrun_entry_open_calls", (double) mCalls.openCalls());
         gauges.put("ebonyrun_entry_owned_steps", (double) mSteps.size());
         gauges.put("ebonyrun_entry_running_samples", (double) mSamples.machine().runningSamples());
         gauges.put("ebonyrun_entry_endpoints", (double) mFleet.all().size());
         gauges.put("ebonyrun_entry_config_version", (double) mRoutes.version());
         gauges.put("ebonyrun_entry_ready", mReady ? 1.0 : 0.0);
-        gauges.put("ebonyrun_entry_store_away", mHealth.isAway() ? 1.0 : 0.0);
-        gauges.put("ebonyrun_entry_planner", mPlanner.isHolding() ? 1.0 : 0.0);
+        gauges.put("ebonyrun_entry_store_away", mHealth.isUnavailable() ? 1.0 : 0.0);
+        gauges.put("ebonyrun_entry_planner", mPlanner.isLeaseHolder() ? 1.0 : 0.0);
         gauges.put("ebonyrun_entry_log_lines_dropped", (double) mLog.dropped());
         return gauges;
     }
@@ -247,7 +251,7 @@
     }
 
     @Override
-    public boolean knowsRoutes() {
+    public boolean hasConfiguration() {
         return mRoutes.isConfigured();
     }
 
@@ -286,8 +290,8 @@
         }
         mHealth.onTick(now);
         mWatches.forEach(watch -> watch.onTick(now));
-        mLease.onTick(mSteps.isNeeded() || mPlanner.isHolding(), now);
-        mSteps.onTick(mDirectory.concerning(mSelf), now);
+        mLease.onTick(mSteps.needsLease() || mPlanner.isLeaseHolder(), now);
+        mSteps.onTick(mDirectory.ownedOrClaimableBy(mSelf), now);
         mPlanner.onTick(now);
         mSamples.machine().onTick(now);
         mCalls.onTick(now);
@@ -302,7 +306,7 @@
 
     private void updateReady(long now) {
         boolean synced = mWatches.stream().allMatch(StoreWatch::isSynced) && mRoutes.isConfigured();
-        boolean reachable = mHealth.awayNanos(now) < STORE_SILENCE_NANOS;
+        boolean reachable = mHealth.outageNanos(now) < STORE_SILENCE_NANOS;
         boolean ready = synced && reachable && !mDraining;
         if (ready != mReady) {
             mReady = ready;
@@ -336,12 +340,12 @@
     }
 
     private boolean isIdle() {
-        return !mSteps.isNeeded() && !mPlanner.isHolding();
+        return !mSteps.needsLease() && !mPlanner.isLeaseHolder();
     }
 
     private StoreWatch watch(
             String prefix,
-            Supplier<StoreWatch.Pace> pace,
+            Supplier<StoreWatch.Timing> pace,
             Consumer<List<StoreItem>> onSnapshot,
             Consumer<StoreChange> onChange) {
         return new StoreWatch(
@@ -361,13 +365,13 @@
                     }
 
                     @Override
-                    public void onAnswer() {
-                        mHealth.onAnswer();
+                    public void onResponse() {
+                        mHealth.onResponse();
                     }
 
                     @Override
                     public void onFault(Fault fault) {
-                        mHealth.onFault(prefix + ": " + fault.detail(), System.nanoTime());
+                        mHealth.onWatchFault(prefix + ": " + fault.detail(), System.nanoTime());
                     }
                 });
     }
@@ -375,22 +379,22 @@
     private StoreHealth.Listener healthListener() {
         return new StoreHealth.Listener() {
             @Override
-            public void probe(int round) {
-                mStore.get(StepKeys.PLANNER)
+            public void sendProbe(int round) {
+                mStore.get(StoreKeys.PLANNER)
                         .thenAcceptAsync(result -> onProbeEnd(round, result), executor());
             }
 
             @Override
-            public void onAway(String why) {
+            public void onUnavailable(String why) {
                 mFleet.onStoreUnavailable();
                 mLog.write(LogLine.of("store.away").with("why", why));
             }
 
             @Override
-            public void onBack() {
+            public void onAvailable() {
                 long now = System.nanoTime();
                 mFleet.onStoreAvailable(now);
-                mWatches.forEach(StoreWatch::onStoreBack);
+                mWatches.forEach(StoreWatch::onStoreAvailable);
                 mLog.write(LogLine.of("store.back"));
             }
         };
@@ -425,7 +429,7 @@
             mPlanner.machine().onVersionNamed(named.model(), named.version(), System.nanoTime());
             mSamples.machine().onVersionNamed(named.model(), named.version());
         } else if (event instanceof OperatorEvent.RetireAsked retire) {
-            mPlanner.onRetire(retire.vm());
+            mPlanner.onRetireRequested(retire.vm());
         }
     }
 
@@ -487,7 +491,7 @@
             mLog.write(
                     LogLine.of("endpoint.removed")
                             .with("endpoint", id)
-                            .with("away", mHealth.isAway()));
+                            .with("away", mHealth.isUnavailable()));
             mFleet.onRemoved(id, System.nanoTime());
         }
     }
@@ -505,17 +509,17 @@
     /** Takes the change of a key in that the directory knows already. */
     private void onLive(StoreChange change) {
         String key = change.key();
-        if (key.equals(StepKeys.PLANNER)) {
-            mPlanner.onPlanner(change.item(), change.revision());
+        if (key.equals(StoreKeys.PLANNER)) {
+            mPlanner.onPlannerKeyChanged(change.item(), change.revision());
             return;
         }
-        if (!StepKeys.isStep(key)) {
+        if (!StoreKeys.isLiveStepKey(key)) {
             return;
         }
-        StepId step = StepKeys.step(key);
-        KnownStep known = mDirectory.get(step);
-        mSteps.onKnown(step, known);
-        if (known != null && known.mManifest != null && key.endsWith(StepKeys.MANIFEST)) {
+        StepId step = StoreKeys.stepId(key);
+        StepStatus known = mDirectory.get(step);
+        mSteps.onStatusChange(step, known);
+        if (known != null && known.mManifest != null && key.endsWith(StoreKeys.MANIFEST)) {
             StepManifest manifest = known.mManifest;
             mPlanner.machine().onStep(manifest.model(), manifest.number(), manifest.minVersion());
         }
@@ -531,14 +535,17 @@
         mLog.write(
                 LogLine.of("reload")
                         .with("limits_changed", !before.equals(mSettings))
-                        .with("restart_needed", !mSettings.isSameProcess(settings)));
+                        .with("restart_needed", !mSettings.isSameExceptLimits(settings)));
     }
 
     /** Stops gracefully: finishes what callers wait for and hands steps over. */
     public void drain() throws InterruptedException {
         long begin = System.nanoTime();
         long limit =
-                begin + (long) (DRAIN_SHARE * Nanos.ofMillis(mSettings.limits().graceMillis()));
+                begin
+                        + (long)
+                                (DRAIN_SHARE
+                                        * Nanos.ofMillis(mSettings.limits().gracePeriodMillis()));
         mDraining = true;
         mReady = false;
         mLog.write(LogLine.of("stop"));
@@ -547,7 +554,8 @@
                     mSteps.onDrain();
                     mPlanner.onDrain();
                 });
-        long finish = (long) (FINISH_SHARE * Nanos.ofMillis(mSettings.limits().graceMillis()));
+        long finish =
+                (long) (FINISH_SHARE * Nanos.ofMillis(mSettings.limits().gracePeriodMillis()));
         CountDownLatch never = new CountDownLatch(1);
         while (System.nanoTime() - limit < 0) {
             never.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
@@ -564,7 +572,7 @@
         while (mFront.busy() > 0 && System.nanoTime() - limit < 0) {
             never.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
         }
-        mDuty.post(mLease::end);
+        mDuty.post(mLease::release);
         never.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
         mLog.write(LogLine.of("stopped").with("busy", mFront.busy()));
         mLog.close();
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedMain.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedMain.java
@@ -71,7 +71,7 @@
             return EXIT_OK;
         }
         EventLog log = EventLog.start(new FileOutputStream(FileDescriptor.out));
-        LibraryLog.route("org.glassfish.grizzly", log);
+        LibraryLogHandler.install("org.glassfish.grizzly", log);
         try {
             HostedEntry entry = HostedEntry.start(parsed.settings(), log);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(entry), "drain"));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
@@ -102,7 +102,7 @@
     }
 
     /** Returns whether a process with the other settings would be the same but for limits. */
-    boolean isSameProcess(HostedSettings other) {
+    boolean isSameExceptLimits(HostedSettings other) {
         return vm.equals(other.vm)
                 && domain.equals(other.domain)
                 && front.equals(other.front)
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ObservedStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/InstrumentedStore.java
@@ -23,7 +23,7 @@
  * <p>Watches are told of by whoever watches, since their silence is found late. Thread safe if the
  * store behind it is.
  */
-final class ObservedStore implements SharedStore {
+final class InstrumentedStore implements SharedStore {
     private final SharedStore mStore;
     private final Consumer<Fault> mOnFault;
     private final Map<String, LongAdder> mCounts = new ConcurrentHashMap<>();
@@ -33,7 +33,7 @@
      *
      * @param onFault hears of each call but a watch that got no proper answer, on any thread
      */
-    ObservedStore(SharedStore store, Consumer<Fault> onFault) {
+    InstrumentedStore(SharedStore store, Consumer<Fault> onFault) {
         mStore = store;
         mOnFault = onFault;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/LibraryLog.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/LibraryLogHandler.java
@@ -12,19 +12,19 @@
  *
  * <p>Thread safe: it only writes to the log.
  */
-final class LibraryLog extends Handler {
+final class LibraryLogHandler extends Handler {
     private final EventLog mLog;
 
-    private LibraryLog(EventLog log) {
+    private LibraryLogHandler(EventLog log) {
         mLog = log;
     }
 
     /** Routes what a library logs from warnings up. */
-    static void route(String library, EventLog log) {
+    static void install(String library, EventLog log) {
         Logger logger = Logger.getLogger(library);
         logger.setUseParentHandlers(false);
         logger.setLevel(Level.WARNING);
-        logger.addHandler(new LibraryLog(log));
+        logger.addHandler(new LibraryLogHandler(log));
     }
 
     @Override
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/MetricsDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/MetricsHandler.java
@@ -7,7 +7,7 @@
 import org.ebonyrun.ports.http.HttpHeaders;
 
 /** Answers scrapes of the metrics. Thread safe: the text is made on the entry's duty. */
-final class MetricsDesk implements FrontListener {
+final class MetricsHandler implements FrontListener {
     private static final int OK = 200;
     private static final HttpHeaders TEXT =
             HttpHeaders.of("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
@@ -15,7 +15,7 @@
     private final Executor mExecutor;
     private final Supplier<byte[]> mText;
 
-    MetricsDesk(Executor executor, Supplier<byte[]> text) {
+    MetricsHandler(Executor executor, Supplier<byte[]> text) {
         mExecutor = executor;
         mText = text;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OrderLog.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OrderLog.java
@@ -86,7 +86,7 @@
      * @param use gets the ages of its orders; empty if they are not known
      */
     void read(long predecessor, Consumer<Optional<OrderAges>> use) {
-        mStore.get(StepKeys.ORDERS)
+        mStore.get(StoreKeys.ORDERS)
                 .thenAcceptAsync(
                         result -> use.accept(result.fold(i -> ages(i, predecessor), f -> NONE)),
                         mExecutor);
@@ -106,7 +106,7 @@
         } catch (IllegalArgumentException e) {
             mLog.write(
                     LogLine.of("store.unreadable")
-                            .with("key", StepKeys.ORDERS)
+                            .with("key", StoreKeys.ORDERS)
                             .with("why", e.getMessage()));
             return NONE;
         }
@@ -124,12 +124,12 @@
     }
 
     /** Begins to note orders under a fence. */
-    void begin(long fence) {
+    void start(long fence) {
         mFence = fence;
     }
 
     /** Notes an order that counts from now on, then gives it; or refuses it. */
-    void note(Runnable give, Runnable refuse) {
+    void recordThenSend(Runnable give, Runnable refuse) {
         mWaiting.add(new Waiting(give, refuse));
         if (!mCalling) {
             store();
@@ -137,9 +137,9 @@
     }
 
     /** Adds what is known of orders to a transaction that gives the planner's key up. */
-    void addTo(Transaction.Builder release) {
+    void addOrderAges(Transaction.Builder release) {
         mAges.apply(mClock.nanoTime())
-                .ifPresent(ages -> release.write(StepKeys.ORDERS, encode(ages)));
+                .ifPresent(ages -> release.write(StoreKeys.ORDERS, encode(ages)));
     }
 
     private void store() {
@@ -155,8 +155,8 @@
         long fence = mFence;
         mStore.commit(
                         Transaction.builder()
-                                .expect(StepKeys.PLANNER, fence)
-                                .write(StepKeys.ORDERS, encode(ages.get()))
+                                .expect(StoreKeys.PLANNER, fence)
+                                .write(StoreKeys.ORDERS, encode(ages.get()))
                                 .build())
                 .thenAcceptAsync(result -> onStored(noted, fence, now, result), mExecutor);
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OwnedStep.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OwnedStep.java
@@ -9,15 +9,15 @@
  */
 final class OwnedStep {
     /** The revision of the owner's key, as this entry wrote it. */
-    long mRevision;
+    long mOwnerRevision;
 
     /** Whether its samples run; a new step first waits for texts of the step before. */
     boolean mRunning;
 
     @Nullable PendingResults mPending;
-    long mCheckpointAt = System.nanoTime();
+    long mLastCheckpointAt = System.nanoTime();
 
     OwnedStep(long revision) {
-        mRevision = revision;
+        mOwnerRevision = revision;
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PendingResults.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PendingResults.java
@@ -8,16 +8,16 @@
 final class PendingResults {
     final int mPosition;
     final byte[] mValue;
-    final byte[] mPartial;
+    final byte[] mCheckpoint;
     final boolean mLast;
-    boolean mCalling;
-    boolean mClaim;
+    boolean mInFlight;
+    boolean mNeedsClaim;
     long mRetryAt;
 
     PendingResults(int position, byte[] value, byte[] partial, boolean last) {
         mPosition = position;
         mValue = value;
-        mPartial = partial;
+        mCheckpoint = partial;
         mLast = last;
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
@@ -42,7 +42,7 @@
  *
  * <p>Not thread safe; confined to the entry's duty.
  */
-final class PlannerDesk implements SwapOutputs {
+final class PlannerController implements SwapOutputs {
     private static final long CLAIM_DELAY_NANOS = Nanos.ofMillis(40);
     private static final long CLAIM_JITTER_NANOS = Nanos.ofMillis(200);
     private static final long RETRY_NANOS = Nanos.ofMillis(500);
@@ -52,7 +52,7 @@
     // order; below it, waiting costs trainers less than the calls.
     private static final long NOTED_QUIET_MILLIS = 1_000;
 
-    private final EntryParts mParts;
+    private final HostedContext mParts;
     private final HttpCaller mCaller;
     private final SharedStore mShared;
     private final StepStore mStore;
@@ -72,8 +72,8 @@
     private long mSweepAt;
     private long mFence;
 
-    PlannerDesk(
-            EntryParts parts,
+    PlannerController(
+            HostedContext parts,
             HttpCaller caller,
             SharedStore shared,
             StepStore store,
@@ -99,14 +99,14 @@
     }
 
     private boolean isNoted() {
-        return mSettings.get().limits().orderQuietMillis() >= NOTED_QUIET_MILLIS;
+        return mSettings.get().limits().orderQuietPeriodMillis() >= NOTED_QUIET_MILLIS;
     }
 
     SwapMachine machine() {
         return mMachine;
     }
 
-    boolean isHolding() {
+    boolean isLeaseHolder() {
         return mMachine.holdsLease();
     }
 
@@ -116,8 +116,8 @@
      * @param revision the revision of the change; changes from before this entry's claim say
      *     nothing
      */
-    void onPlanner(@Nullable StoreItem holder, long revision) {
-        boolean mine = holder != null && holder.text().equals(mParts.self().text());
+    void onPlannerKeyChanged(@Nullable StoreItem holder, long revision) {
+        boolean mine = holder != null && holder.text().equals(mParts.self().format());
         if (holder != null && !mine) {
             mPredecessor = true;
             mLastHolder = holder.text();
@@ -146,7 +146,7 @@
     }
 
     /** Notes that operators want a machine emptied. */
-    void onRetire(String vm) {
+    void onRetireRequested(String vm) {
         mRetireAsked.add(vm);
     }
 
@@ -179,7 +179,7 @@
         }
         mClaiming = true;
         mParts.lease()
-                .with(
+                .acquire(
                         lease -> {
                             if (lease == 0) {
                                 onClaimFailed();
@@ -191,12 +191,12 @@
     }
 
     private void claim(long lease) {
-        byte[] value = mParts.self().text().getBytes(StandardCharsets.UTF_8);
+        byte[] value = mParts.self().format().getBytes(StandardCharsets.UTF_8);
         StoreItem holder = mParts.directory().planner();
         OptionalLong replaced =
                 holder == null
-                        ? mParts.self().takes(null, 0)
-                        : mParts.self().takes(holder.text(), holder.revision());
+                        ? mParts.self().expectedRevision(null, 0)
+                        : mParts.self().expectedRevision(holder.text(), holder.revision());
         if (replaced.isEmpty()) {
             onClaimFailed();
             return;
@@ -204,8 +204,8 @@
         mSameHolder = holder != null;
         mShared.commit(
                         Transaction.builder()
-                                .expect(StepKeys.PLANNER, replaced.getAsLong())
-                                .write(StepKeys.PLANNER, value, lease)
+                                .expect(StoreKeys.PLANNER, replaced.getAsLong())
+                                .write(StoreKeys.PLANNER, value, lease)
                                 .build())
                 .thenAcceptAsync(this::onClaimed, mParts.executor());
     }
@@ -226,9 +226,9 @@
     private void hold(long fence, Optional<OrderAges> ages) {
         mClaiming = false;
         mFence = fence;
-        mOrders.begin(fence);
+        mOrders.start(fence);
         long now = System.nanoTime();
-        long quiet = Nanos.ofMillis(mSettings.get().limits().orderQuietMillis());
+        long quiet = Nanos.ofMillis(mSettings.get().limits().orderQuietPeriodMillis());
         if (mSameHolder) {
             // Orders of the same VM are those of one holder, whichever process gave them.
             mMachine.onLeaseAcquired(fence, quiet, ages.orElse(OrderAges.NONE), now);
@@ -257,7 +257,7 @@
             return commit.revision();
         }
         for (StoreItem item : commit.current()) {
-            if (item.text().equals(mParts.self().text())) {
+            if (item.text().equals(mParts.self().format())) {
                 return item.revision();
             }
         }
@@ -298,11 +298,11 @@
         mSweepAt = now + SWEEP_NANOS;
         long before =
                 System.currentTimeMillis()
-                        - mSettings.get().limits().keepMillis()
+                        - mSettings.get().limits().retentionMillis()
                         - KEEP_SLACK_MILLIS;
-        for (StepId step : mParts.directory().over(before)) {
+        for (StepId step : mParts.directory().finishedSteps(before)) {
             mParts.log().write(LogLine.of("step.forgotten").with("step", step));
-            mStore.forget(step);
+            mStore.delete(step);
         }
     }
 
@@ -316,9 +316,9 @@
 
     private void giveUp() {
         Transaction.Builder handOver =
-                Transaction.builder().expect(StepKeys.PLANNER, mFence).remove(StepKeys.PLANNER);
+                Transaction.builder().expect(StoreKeys.PLANNER, mFence).remove(StoreKeys.PLANNER);
         if (isNoted()) {
-            mOrders.addTo(handOver);
+            mOrders.addOrderAges(handOver);
         }
         release("this entry stops");
         mShared.commit(handOver.build());
@@ -332,7 +332,7 @@
 
     private void onState(Endpoint endpoint, Result<HttpReply> result) {
         long now = System.nanoTime();
-        EndpointState state = result.fold(PlannerDesk::state, fault -> null);
+        EndpointState state = result.fold(PlannerController::state, fault -> null);
         if (state == null) {
             mMachine.onStateUnavailable(endpoint, now);
         } else {
@@ -357,7 +357,7 @@
         if (!mParts.lease().isValid(System.nanoTime())) {
             refuse(endpoint, order);
         } else if (isNoted()) {
-            mOrders.note(() -> give(endpoint, order), () -> refuse(endpoint, order));
+            mOrders.recordThenSend(() -> give(endpoint, order), () -> refuse(endpoint, order));
         } else {
             give(endpoint, order);
         }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ProcessName.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ProcessName.java
@@ -16,7 +16,7 @@
 
     /** Returns whether {@code owner} names an earlier process of the same VM. */
     boolean isSuccessorOf(String owner) {
-        return owner.startsWith(vm + SEPARATOR) && !owner.equals(text());
+        return owner.startsWith(vm + SEPARATOR) && !owner.equals(format());
     }
 
     /**
@@ -24,7 +24,7 @@
      * it, that of the holder if the holder was an earlier process of the same VM; empty if it may
      * not be taken.
      */
-    OptionalLong takes(@Nullable String holder, long revision) {
+    OptionalLong expectedRevision(@Nullable String holder, long revision) {
         if (holder == null) {
             return OptionalLong.of(Transaction.ABSENT);
         }
@@ -32,7 +32,7 @@
     }
 
     /** Returns the form that is stored. */
-    String text() {
+    String format() {
         return vm + SEPARATOR + Long.toHexString(incarnation);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ReadyDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ReadinessHandler.java
@@ -6,13 +6,13 @@
 import org.ebonyrun.ports.http.HttpHeaders;
 
 /** Tells the platform whether the entry is ready. Thread safe. */
-final class ReadyDesk implements FrontListener {
+final class ReadinessHandler implements FrontListener {
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
 
     private final BooleanSupplier mReady;
 
-    ReadyDesk(BooleanSupplier ready) {
+    ReadinessHandler(BooleanSupplier ready) {
         mReady = ready;
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultReader.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultReader.java
@@ -39,19 +39,19 @@
         boolean owns(StepId step);
 
         /** Returns whether the store has no results of a step but those that are listed here. */
-        boolean isCertain(StepId step);
+        boolean isAuthoritative(StepId step);
 
         /** Returns the results that are listed of an owned step; empty if it is not owned. */
-        List<SampleResult> listed(StepId step);
+        List<SampleResult> listedResults(StepId step);
     }
 
     /** How a read ends. */
-    interface Reply {
+    interface Callback {
         /** The results from the position on; empty if there are none yet. */
-        void results(List<SampleResult> results);
+        void onResults(List<SampleResult> results);
 
         /** It is not known what the step holds. */
-        void unsure(Fault fault);
+        void onFault(Fault fault);
     }
 
     /** The results of one step that are known here. */
@@ -73,7 +73,7 @@
             if (item == null) {
                 return;
             }
-            int position = StepKeys.position(item.key());
+            int position = StoreKeys.resultPosition(item.key());
             if (position == mResults.size()) {
                 mResults.addAll(StepCodec.results(item.value()));
             } else if (position > mResults.size()) {
@@ -88,7 +88,7 @@
     }
 
     /** A read that has not ended. */
-    private record Read(StepId step, int samples, int from, long until, Reply reply) {
+    private record Read(StepId step, int samples, int from, long until, Callback reply) {
         long waitMillis(long now) {
             return Math.max(0, Nanos.toMillis(until - now));
         }
@@ -100,7 +100,7 @@
     private final Executor mExecutor;
     private final MonotonicClock mClock;
     private final EventLog mLog;
-    private final Map<StepId, Known> mKnown = StepReader.lru(MAX_STEPS);
+    private final Map<StepId, Known> mKnown = StepReader.newLruMap(MAX_STEPS);
     // Reads that wait for this process, the owner, to list results.
     private final List<Read> mWaiting = new ArrayList<>();
 
@@ -125,14 +125,14 @@
      * @param from the position of the first result that is wanted
      * @param waitMillis how long the read may wait for a result, in milliseconds
      */
-    void read(StepId step, int samples, int from, long waitMillis, Reply reply) {
+    void read(StepId step, int samples, int from, long waitMillis, Callback reply) {
         long wait = Nanos.ofMillis(Math.min(waitMillis, MAX_WAIT_MILLIS));
         proceed(new Read(step, samples, from, mClock.nanoTime() + wait, reply));
     }
 
     private void proceed(Read read) {
         Known known = known(read.step());
-        known.adopt(mOwnership.listed(read.step()));
+        known.adopt(mOwnership.listedResults(read.step()));
         if (isAnswered(read, known)) {
             answer(read, known);
         } else if (mOwnership.owns(read.step())) {
@@ -160,14 +160,14 @@
     }
 
     private static void answer(Read read, Known known) {
-        read.reply().results(known.from(read.from()));
+        read.reply().onResults(known.from(read.from()));
     }
 
     private void onLoaded(Read read, Result<StoredStep> result) {
         result.fold(
                 stored -> {
                     Known known = known(read.step());
-                    known.adopt(stored.listed());
+                    known.adopt(stored.results());
                     known.mRevision = Math.max(known.mRevision, stored.revision());
                     if (isAnswered(read, known)) {
                         answer(read, known);
@@ -183,7 +183,7 @@
 
     private void watch(Read read, Known known) {
         long wait = Math.max(1, read.waitMillis(mClock.nanoTime()));
-        mShared.watch(StepKeys.results(read.step()), known.mRevision, wait)
+        mShared.watch(StoreKeys.resultsPrefix(read.step()), known.mRevision, wait)
                 .thenAcceptAsync(result -> onWatched(read, known, result), mExecutor);
     }
 
@@ -224,11 +224,11 @@
                         .with("known", known(read.step()).mResults.size())
                         .with("source", source)
                         .with("revision", revision));
-        read.reply().results(List.of());
+        read.reply().onResults(List.of());
     }
 
     private static <T> T unsure(Read read, Fault fault) {
-        read.reply().unsure(fault);
+        read.reply().onFault(fault);
         return null;
     }
 
@@ -251,12 +251,12 @@
             Read read = it.next();
             Known known = known(read.step());
             // The step may have been handed over and taken again meanwhile.
-            known.adopt(mOwnership.listed(read.step()));
+            known.adopt(mOwnership.listedResults(read.step()));
             boolean due = now - read.until() >= 0;
             if (isAnswered(read, known)) {
                 it.remove();
                 answer(read, known);
-            } else if (due && mOwnership.isCertain(read.step())) {
+            } else if (due && mOwnership.isAuthoritative(read.step())) {
                 it.remove();
                 sayNone(read, "owner", known.mRevision);
             } else if (due || !mOwnership.owns(read.step())) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
@@ -36,24 +36,24 @@
     private static final byte[] NOTHING = new byte[0];
 
     /** Says who owns steps. */
-    interface Owner {
+    interface Ownership {
         /** Returns whether a step is still owned by the same claim. */
         boolean isCurrent(StepId id, OwnedStep owned);
 
         /** The last results of a step are stored. */
-        void onLast(StepId id);
+        void onLastResultsStored(StepId id);
 
         /** The step is no longer owned. */
-        void onLost(StepId id, String why);
+        void onOwnershipLost(StepId id, String why);
     }
 
-    private final EntryParts mParts;
+    private final HostedContext mParts;
     private final StepStore mStore;
     private final StepMachine mMachine;
-    private final Owner mOwner;
+    private final Ownership mOwner;
     private final boolean mCheckpoints;
 
-    ResultWriter(EntryParts parts, StepStore store, StepMachine machine, Owner owner) {
+    ResultWriter(HostedContext parts, StepStore store, StepMachine machine, Ownership owner) {
         mParts = parts;
         mStore = store;
         mMachine = machine;
@@ -64,12 +64,12 @@
     /** Repeats what the store did not answer, and keeps texts of steps that list nothing. */
     void onTick(StepId id, OwnedStep owned, long now) {
         PendingResults pending = owned.mPending;
-        if (mParts.isStoreAway()) {
+        if (mParts.isStoreUnavailable()) {
             return;
         }
         if (pending == null) {
             keep(id, owned, partialWhenDue(id, owned, CHECKPOINT_NANOS, now));
-        } else if (!pending.mCalling && now - pending.mRetryAt >= 0) {
+        } else if (!pending.mInFlight && now - pending.mRetryAt >= 0) {
             send(id, owned);
         }
     }
@@ -88,16 +88,16 @@
 
     /** Returns the texts to keep now; empty if it is too soon or none are worth it. */
     private byte[] partialWhenDue(StepId id, OwnedStep owned, long everyNanos, long now) {
-        if (!mCheckpoints || now - owned.mCheckpointAt < everyNanos) {
+        if (!mCheckpoints || now - owned.mLastCheckpointAt < everyNanos) {
             return NOTHING;
         }
-        owned.mCheckpointAt = now;
+        owned.mLastCheckpointAt = now;
         return encode(id, mMachine.checkpoints(id, CHECKPOINT_EVENTS));
     }
 
     /** Returns texts as they are kept; empty if there are none or they take too much room. */
     private byte[] encode(StepId id, List<SampleCheckpoint> texts) {
-        byte[] partial = texts.isEmpty() ? NOTHING : StepCodec.partial(texts);
+        byte[] partial = texts.isEmpty() ? NOTHING : StepCodec.checkpoint(texts);
         if (partial.length > CHECKPOINT_BYTES) {
             logUnkept(id, "texts have " + partial.length + " bytes");
             return NOTHING;
@@ -106,7 +106,7 @@
     }
 
     /** Keeps texts of a step that has ended, for a later step that asks for them again. */
-    void keepTexts(StepId id, OwnedStep owned, List<SampleCheckpoint> texts) {
+    void storeCheckpoint(StepId id, OwnedStep owned, List<SampleCheckpoint> texts) {
         keep(id, owned, encode(id, texts));
     }
 
@@ -115,7 +115,7 @@
         if (partial.length == 0) {
             return;
         }
-        mStore.checkpoint(id, owned.mRevision, partial)
+        mStore.storeCheckpoint(id, owned.mOwnerRevision, partial)
                 .thenAcceptAsync(
                         result ->
                                 result.fold(
@@ -136,17 +136,17 @@
         if (append == null) {
             return;
         }
-        append.mCalling = true;
-        if (append.mClaim) {
+        append.mInFlight = true;
+        if (append.mNeedsClaim) {
             claimAgain(id, owned, append);
             return;
         }
-        mStore.append(
+        mStore.appendResults(
                         id,
-                        owned.mRevision,
+                        owned.mOwnerRevision,
                         append.mPosition,
                         append.mValue,
-                        append.mPartial,
+                        append.mCheckpoint,
                         append.mLast)
                 .thenAcceptAsync(
                         result -> onAppended(id, owned, append, result), mParts.executor());
@@ -154,7 +154,7 @@
 
     private void onAppended(
             StepId id, OwnedStep owned, PendingResults append, Result<Commit> result) {
-        append.mCalling = false;
+        append.mInFlight = false;
         if (!mOwner.isCurrent(id, owned)) {
             return;
         }
@@ -163,9 +163,9 @@
                     if (commit.isCommitted() || holds(commit, id, append)) {
                         onStored(id, owned, append);
                     } else if (ownerChanged(commit, id, owned)) {
-                        mOwner.onLost(id, "another entry owns the step");
+                        mOwner.onOwnershipLost(id, "another entry owns the step");
                     } else {
-                        append.mClaim = true;
+                        append.mNeedsClaim = true;
                         send(id, owned);
                     }
                     return commit;
@@ -186,13 +186,13 @@
         owned.mPending = null;
         mMachine.onResultsStored(id, System.nanoTime());
         if (append.mLast) {
-            mOwner.onLast(id);
+            mOwner.onLastResultsStored(id);
         }
     }
 
     /** Returns whether the conflict shows that the same results were stored before. */
     private static boolean holds(Commit commit, StepId id, PendingResults append) {
-        String key = StepKeys.result(id, append.mPosition);
+        String key = StoreKeys.resultKey(id, append.mPosition);
         for (StoreItem item : commit.current()) {
             if (item.key().equals(key) && Arrays.equals(item.value(), append.mValue)) {
                 return true;
@@ -202,11 +202,11 @@
     }
 
     private boolean ownerChanged(Commit commit, StepId id, OwnedStep owned) {
-        String key = StepKeys.live(id, StepKeys.OWNER);
+        String key = StoreKeys.liveKey(id, StoreKeys.OWNER);
         String resultKey =
-                StepKeys.result(id, owned.mPending == null ? 0 : owned.mPending.mPosition);
+                StoreKeys.resultKey(id, owned.mPending == null ? 0 : owned.mPending.mPosition);
         for (StoreItem item : commit.current()) {
-            boolean other = item.key().equals(key) && item.revision() != owned.mRevision;
+            boolean other = item.key().equals(key) && item.revision() != owned.mOwnerRevision;
             if (other || item.key().equals(resultKey)) {
                 return true;
             }
@@ -216,14 +216,14 @@
 
     private void claimAgain(StepId id, OwnedStep owned, PendingResults append) {
         mParts.lease()
-                .with(
+                .acquire(
                         lease -> {
                             if (lease == 0) {
-                                append.mCalling = false;
+                                append.mInFlight = false;
                                 append.mRetryAt = System.nanoTime() + RETRY_NANOS;
                                 return;
                             }
-                            mStore.claim(id, Transaction.ABSENT, mParts.self().text(), lease)
+                            mStore.claim(id, Transaction.ABSENT, mParts.self().format(), lease)
                                     .thenAcceptAsync(
                                             result -> onClaimedAgain(id, owned, append, result),
                                             mParts.executor());
@@ -233,24 +233,24 @@
 
     private void onClaimedAgain(
             StepId id, OwnedStep owned, PendingResults append, Result<Commit> result) {
-        append.mCalling = false;
+        append.mInFlight = false;
         if (!mOwner.isCurrent(id, owned)) {
             return;
         }
         result.fold(
                 commit -> {
                     if (commit.isCommitted()) {
-                        owned.mRevision = commit.revision();
-                        append.mClaim = false;
+                        owned.mOwnerRevision = commit.revision();
+                        append.mNeedsClaim = false;
                         send(id, owned);
                     } else if (mParts.ownRevision(commit, id) != 0) {
-                        owned.mRevision = mParts.ownRevision(commit, id);
-                        append.mClaim = false;
+                        owned.mOwnerRevision = mParts.ownRevision(commit, id);
+                        append.mNeedsClaim = false;
                         send(id, owned);
                     } else if (commit.outcome() == CommitOutcome.LEASE_ENDED) {
                         append.mRetryAt = System.nanoTime() + RETRY_NANOS;
                     } else {
-                        mOwner.onLost(id, "another entry owns the step, or it is over");
+                        mOwner.onOwnershipLost(id, "another entry owns the step, or it is over");
                     }
                     return commit;
                 },
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleDesk.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
@@ -31,17 +31,17 @@
  *
  * <p>Not thread safe; confined to the entry's duty.
  */
-final class SampleDesk implements StepOutputs, SampleExchange.Sink {
+final class SampleController implements StepOutputs, SampleExchange.Listener {
     // A score may take this many times the goal of its route.
     private static final long SCORE_GOALS = 4;
 
-    private final EntryParts mParts;
+    private final HostedContext mParts;
     private final HttpCaller mCaller;
     private final StepMachine mMachine;
     private final Map<Long, SampleExchange> mRuns = new HashMap<>();
     private final RouteFinder mRoutes;
-    private CallDesk mCalls;
-    private StepOwner mOwner;
+    private CallController mCalls;
+    private StepOwnership mOwner;
     private StepReader mReader;
 
     /** Finds the route of a host and path. */
@@ -50,7 +50,7 @@
         Optional<Route> find(String host, String path);
     }
 
-    SampleDesk(EntryParts parts, HttpCaller caller, Fleet fleet, RouteFinder routes) {
+    SampleController(HostedContext parts, HttpCaller caller, Fleet fleet, RouteFinder routes) {
         mParts = parts;
         mCaller = caller;
         mRoutes = routes;
@@ -61,7 +61,7 @@
         return mMachine;
     }
 
-    void bind(CallDesk calls, StepOwner owner, StepReader reader) {
+    void bind(CallController calls, StepOwnership owner, StepReader reader) {
         mCalls = calls;
         mOwner = owner;
         mReader = reader;
@@ -101,18 +101,18 @@
         SampleExchange exchange = mRuns.remove(run);
         if (exchange != null) {
             exchange.cancel();
-            mParts.metrics().count(EntryMetrics.RUNS, "STOPPED");
+            mParts.metrics().count(EntryMetrics.SAMPLE_RUNS, "STOPPED");
             LogLine line =
                     LogLine.of("sample.stopped")
                             .with("run", run)
-                            .with("events", exchange.events())
+                            .with("events", exchange.eventCount())
                             .with("why", reason);
             mParts.log().write(exchange.withConnection(line));
         }
     }
 
     @Override
-    public void onBegun(long run, int version) {
+    public void onStreamStart(long run, int version) {
         mMachine.onStreamStart(run, version, System.nanoTime());
     }
 
@@ -131,11 +131,11 @@
         if (exchange == null) {
             return;
         }
-        mParts.metrics().count(EntryMetrics.RUNS, end.name());
+        mParts.metrics().count(EntryMetrics.SAMPLE_RUNS, end.name());
         LogLine line =
                 LogLine.of("sample.run")
                         .with("run", run)
-                        .with("events", exchange.events())
+                        .with("events", exchange.eventCount())
                         .with("end", end)
                         .with("detail", detail);
         mParts.log().write(exchange.withConnection(line));
@@ -156,7 +156,7 @@
         long goal = Nanos.ofMillis(route.get().call().targetLatencyMillis());
         CallSpec call =
                 new CallSpec(
-                        mCalls.nextId(),
+                        mCalls.nextCallId(),
                         score.id(),
                         route.get(),
                         route.get().services().get(0).service(),
@@ -164,7 +164,7 @@
                         now + SCORE_GOALS * goal,
                         true);
         int allowed = route.get().call().maxAttempts();
-        mCalls.onScore(
+        mCalls.onScoreCall(
                 call,
                 score,
                 (end, text, errors) ->
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
@@ -17,9 +17,9 @@
  */
 final class SampleExchange extends EndpointExchange {
     /** Hears of the run on the entry's duty. */
-    interface Sink {
+    interface Listener {
         /** The stream began. */
-        void onBegun(long run, int version);
+        void onStreamStart(long run, int version);
 
         /** Events arrived. */
         void onEvents(long run, List<SseEvent> events);
@@ -30,14 +30,14 @@
 
     private final long mRun;
     private final String mEndpoint;
-    private final Sink mSink;
+    private final Listener mSink;
     private List<SseEvent> mEvents = new ArrayList<>();
     private final SseEventParser mParser = SseEventParser.create(event -> mEvents.add(event));
     private boolean mStream;
     private boolean mBroken;
     private volatile int mCount;
 
-    SampleExchange(long run, String endpoint, Executor executor, Sink sink) {
+    SampleExchange(long run, String endpoint, Executor executor, Listener sink) {
         super(executor);
         mRun = run;
         mEndpoint = endpoint;
@@ -45,7 +45,7 @@
     }
 
     /** Returns how many events have arrived. */
-    int events() {
+    int eventCount() {
         return mCount;
     }
 
@@ -55,7 +55,7 @@
         mStream = EndpointProtocol.isStream(head);
         if (mStream) {
             int version = EndpointProtocol.version(head);
-            tell(() -> mSink.onBegun(mRun, version));
+            runOnEventLoop(() -> mSink.onStreamStart(mRun, version));
         }
     }
 
@@ -69,7 +69,7 @@
             List<SseEvent> events = mEvents;
             mCount += events.size();
             mEvents = new ArrayList<>();
-            tell(() -> mSink.onEvents(mRun, events));
+            runOnEventLoop(() -> mSink.onEvents(mRun, events));
         }
     }
 
@@ -77,7 +77,7 @@
     public void onEnd() {
         RunOutcome end = end();
         String detail = mHead == null ? "no head" : "status " + mHead.status();
-        tell(() -> mSink.onEnd(mRun, end, detail));
+        runOnEventLoop(() -> mSink.onEnd(mRun, end, detail));
     }
 
     private RunOutcome end() {
@@ -96,6 +96,6 @@
     @Override
     public void onFailure(boolean sent, String detail) {
         RunOutcome end = sent ? RunOutcome.BROKEN : RunOutcome.UNREACHABLE;
-        tell(() -> mSink.onEnd(mRun, end, detail));
+        runOnEventLoop(() -> mSink.onEnd(mRun, end, detail));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepCodec.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepCodec.java
@@ -69,7 +69,7 @@
         return results;
     }
 
-    static byte[] partial(List<SampleCheckpoint> texts) {
+    static byte[] checkpoint(List<SampleCheckpoint> texts) {
         ObjectNode root = JsonTrees.object();
         ArrayNode array = root.putArray("texts");
         for (SampleCheckpoint text : texts) {
@@ -84,7 +84,7 @@
         return JsonTrees.write(root);
     }
 
-    static List<SampleCheckpoint> partial(byte[] value) {
+    static List<SampleCheckpoint> checkpoint(byte[] value) {
         List<SampleCheckpoint> texts = new ArrayList<>();
         for (JsonNode node : JsonTrees.read(value).path("texts")) {
             List<String> events = new ArrayList<>();
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepDirectory.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepDirectory.java
@@ -18,7 +18,7 @@
  */
 final class StepDirectory {
     private final EventLog mLog;
-    private final Map<StepId, KnownStep> mSteps = new HashMap<>();
+    private final Map<StepId, StepStatus> mSteps = new HashMap<>();
     private @Nullable StoreItem mPlanner;
 
     StepDirectory(EventLog log) {
@@ -26,7 +26,7 @@
     }
 
     /** Returns what is known of a step; null if nothing is. */
-    @Nullable KnownStep get(StepId id) {
+    @Nullable StepStatus get(StepId id) {
         return mSteps.get(id);
     }
 
@@ -36,11 +36,11 @@
     }
 
     /** Returns the open steps that a process owns or may take. */
-    List<StepId> concerning(ProcessName self) {
+    List<StepId> ownedOrClaimableBy(ProcessName self) {
         List<StepId> concerning = new ArrayList<>();
         mSteps.forEach(
                 (id, step) -> {
-                    if (step.concerns(self)) {
+                    if (step.isOwnedOrClaimableBy(self)) {
                         concerning.add(id);
                     }
                 });
@@ -48,7 +48,7 @@
     }
 
     /** Returns the steps that are over and were accepted before a time. */
-    List<StepId> over(long acceptedBefore) {
+    List<StepId> finishedSteps(long acceptedBefore) {
         List<StepId> over = new ArrayList<>();
         mSteps.forEach(
                 (id, step) -> {
@@ -65,10 +65,10 @@
      * Returns the newest step of the same trainer before one with this manifest, if it ended before
      * every sample was listed; null if there is none.
      */
-    @Nullable StepId unfinishedBefore(StepManifest manifest) {
+    @Nullable StepId findUnfinishedPredecessor(StepManifest manifest) {
         StepId before = null;
         int number = -1;
-        for (Map.Entry<StepId, KnownStep> entry : mSteps.entrySet()) {
+        for (Map.Entry<StepId, StepStatus> entry : mSteps.entrySet()) {
             StepManifest other = entry.getValue().mManifest;
             boolean newer =
                     other != null
@@ -93,18 +93,18 @@
     @Nullable StepId onChange(StoreChange change) {
         String key = change.key();
         StoreItem item = change.item();
-        if (key.equals(StepKeys.PLANNER)) {
+        if (key.equals(StoreKeys.PLANNER)) {
             mPlanner = item;
             return null;
         }
-        if (!StepKeys.isStep(key)) {
+        if (!StoreKeys.isLiveStepKey(key)) {
             return null;
         }
         try {
-            StepId id = StepKeys.step(key);
-            KnownStep step = mSteps.computeIfAbsent(id, ignored -> new KnownStep());
+            StepId id = StoreKeys.stepId(key);
+            StepStatus step = mSteps.computeIfAbsent(id, ignored -> new StepStatus());
             apply(step, key, item);
-            if (step.isForgotten()) {
+            if (step.hasNoKeys()) {
                 mSteps.remove(id);
             }
             return id;
@@ -114,16 +114,16 @@
         }
     }
 
-    private void apply(KnownStep step, String key, @Nullable StoreItem item) {
-        switch (StepKeys.part(key)) {
-            case StepKeys.MANIFEST ->
+    private void apply(StepStatus step, String key, @Nullable StoreItem item) {
+        switch (StoreKeys.part(key)) {
+            case StoreKeys.MANIFEST ->
                     step.mManifest = item == null ? null : StepCodec.manifest(item.value());
-            case StepKeys.OWNER -> {
+            case StoreKeys.OWNER -> {
                 step.mOwner = item == null ? null : item.text();
                 step.mOwnerRevision = item == null ? 0 : item.revision();
             }
-            case StepKeys.END -> step.mEnded = item != null;
-            case StepKeys.DONE -> step.mDone = item != null;
+            case StoreKeys.END -> step.mEnded = item != null;
+            case StoreKeys.DONE -> step.mDone = item != null;
             default -> mLog.write(LogLine.of("store.foreign").with("key", key));
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwner.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
@@ -41,7 +41,7 @@
  *
  * <p>Not thread safe; confined to the entry's duty.
  */
-final class StepOwner implements ResultWriter.Owner, ResultReader.Ownership {
+final class StepOwnership implements ResultWriter.Ownership, ResultReader.Ownership {
     private static final long RETRY_NANOS = Nanos.ofMillis(150);
     // Entries that own less take an orphan sooner.
     private static final long CLAIM_BASE_NANOS = Nanos.ofMillis(20);
@@ -50,7 +50,7 @@
     // How long a new step waits for texts of the step before it.
     private static final long CARRY_WAIT_NANOS = Nanos.ofMillis(150);
 
-    private final EntryParts mParts;
+    private final HostedContext mParts;
     private final StepStore mStore;
     private final StepMachine mMachine;
     private final RandomGenerator mRandom;
@@ -63,7 +63,8 @@
     private final boolean mCarries;
     private boolean mDraining;
 
-    StepOwner(EntryParts parts, StepStore store, StepMachine machine, RandomGenerator random) {
+    StepOwnership(
+            HostedContext parts, StepStore store, StepMachine machine, RandomGenerator random) {
         mParts = parts;
         mStore = store;
         mMachine = machine;
@@ -73,7 +74,7 @@
     }
 
     /** Returns whether this entry owns a step or is about to. */
-    boolean isNeeded() {
+    boolean needsLease() {
         return !mOwned.isEmpty() || !mClaiming.isEmpty() || !mAccepting.isEmpty();
     }
 
@@ -83,7 +84,7 @@
     }
 
     @Override
-    public boolean isCertain(StepId id) {
+    public boolean isAuthoritative(StepId id) {
         OwnedStep owned = mOwned.get(id);
         boolean stored = owned != null && owned.mPending == null;
         return stored && mParts.lease().isValid(System.nanoTime());
@@ -94,7 +95,7 @@
     }
 
     @Override
-    public List<SampleResult> listed(StepId id) {
+    public List<SampleResult> listedResults(StepId id) {
         List<SampleResult> listed = mMachine.listedResults(id);
         return listed == null ? List.of() : listed;
     }
@@ -111,7 +112,7 @@
             Consumer<Result<Boolean>> answer,
             long now) {
         mParts.lease()
-                .with(
+                .acquire(
                         lease -> {
                             if (lease == 0) {
                                 answer.accept(Result.err(noLease()));
@@ -144,7 +145,7 @@
                         spec.samples().size(),
                         acceptedAt);
         mAccepting.add(spec.id());
-        mStore.accept(spec.id(), manifest, submission, mParts.self().text(), lease)
+        mStore.accept(spec.id(), manifest, submission, mParts.self().format(), lease)
                 .thenAcceptAsync(
                         result -> onAccepted(spec, manifest, route, result, answer),
                         mParts.executor());
@@ -208,7 +209,7 @@
                                 .with("fence", revision));
         OwnedStep owned = new OwnedStep(revision);
         mOwned.put(spec.id(), owned);
-        StepId before = mParts.directory().unfinishedBefore(manifest);
+        StepId before = mParts.directory().findUnfinishedPredecessor(manifest);
         if (before == null || !mCarries) {
             run(spec, route, owned, List.of());
             return;
@@ -217,7 +218,7 @@
                 .thenAcceptAsync(
                         result -> run(spec, route, owned, carried(spec, route, before, result)),
                         mParts.executor());
-        mParts.later(CARRY_WAIT_NANOS, () -> run(spec, route, owned, List.of()));
+        mParts.schedule(CARRY_WAIT_NANOS, () -> run(spec, route, owned, List.of()));
     }
 
     /** Returns what the step before left for a step. A failure costs no more than a rerun. */
@@ -229,15 +230,15 @@
                             CarriedTexts.selectUsable(
                                     spec,
                                     route.step().singleVersion(),
-                                    stored.listed(),
-                                    stored.partial());
+                                    stored.results(),
+                                    stored.checkpoints());
                     mParts.log()
                             .write(
                                     LogLine.of("step.carried")
                                             .with("step", spec.id())
                                             .with("before", before)
-                                            .with("listed", stored.listed().size())
-                                            .with("partial", stored.partial().size())
+                                            .with("listed", stored.results().size())
+                                            .with("partial", stored.checkpoints().size())
                                             .with("used", texts.size()));
                     return texts;
                 },
@@ -274,7 +275,7 @@
     }
 
     @Override
-    public void onLast(StepId id) {
+    public void onLastResultsStored(StepId id) {
         mOwned.remove(id);
         mOver.add(id);
         mParts.metrics().count(EntryMetrics.STEPS, "done");
@@ -282,7 +283,7 @@
     }
 
     @Override
-    public void onLost(StepId id, String why) {
+    public void onOwnershipLost(StepId id, String why) {
         mOwned.remove(id);
         mMachine.onOwnershipLost(id);
         mParts.metrics().count(EntryMetrics.STEPS, "lost");
@@ -290,7 +291,7 @@
     }
 
     /** Takes in what the watch says of a step. */
-    void onKnown(StepId id, @Nullable KnownStep known) {
+    void onStatusChange(StepId id, @Nullable StepStatus known) {
         if (known == null) {
             return;
         }
@@ -299,7 +300,7 @@
             mOwned.remove(id);
             List<SampleCheckpoint> texts = mMachine.onStepEnded(id);
             if (mCarries) {
-                mWriter.keepTexts(id, owned, texts);
+                mWriter.storeCheckpoint(id, owned, texts);
             }
             mParts.log()
                     .write(
@@ -311,10 +312,10 @@
         boolean other =
                 owned != null
                         && known.mOwner != null
-                        && !known.mOwner.equals(mParts.self().text())
-                        && known.mOwnerRevision > owned.mRevision;
+                        && !known.mOwner.equals(mParts.self().format())
+                        && known.mOwnerRevision > owned.mOwnerRevision;
         if (other) {
-            onLost(id, "owned by " + known.mOwner);
+            onOwnershipLost(id, "owned by " + known.mOwner);
         }
     }
 
@@ -328,15 +329,15 @@
         mClaimAt.keySet().retainAll(open);
         mOver.retainAll(open);
         for (StepId id : concerning) {
-            KnownStep known = mParts.directory().get(id);
+            StepStatus known = mParts.directory().get(id);
             if (known != null) {
                 seeTo(id, known, now);
             }
         }
     }
 
-    private void seeTo(StepId id, KnownStep known, long now) {
-        boolean named = mParts.self().text().equals(known.mOwner);
+    private void seeTo(StepId id, StepStatus known, long now) {
+        boolean named = mParts.self().format().equals(known.mOwner);
         boolean busy = mClaiming.contains(id) || mAccepting.contains(id) || mOver.contains(id);
         if (mOwned.containsKey(id)) {
             if (known.mOwner == null) {
@@ -357,13 +358,13 @@
             return;
         }
         mParts.lease()
-                .with(
+                .acquire(
                         lease -> {
                             if (lease == 0) {
                                 mClaiming.remove(id);
                                 return;
                             }
-                            mStore.claim(id, Transaction.ABSENT, mParts.self().text(), lease)
+                            mStore.claim(id, Transaction.ABSENT, mParts.self().format(), lease)
                                     .thenAcceptAsync(
                                             result -> onReclaimed(id, result), mParts.executor());
                         },
@@ -383,18 +384,18 @@
                                     ? commit.revision()
                                     : mParts.ownRevision(commit, id);
                     if (revision != 0) {
-                        owned.mRevision = Math.max(owned.mRevision, revision);
+                        owned.mOwnerRevision = Math.max(owned.mOwnerRevision, revision);
                     }
                     return commit;
                 });
     }
 
     private void claimWhenDue(StepId id, long now) {
-        if (!mParts.knowsRoutes()) {
+        if (!mParts.hasConfiguration()) {
             return;
         }
         Long due = mClaimAt.get(id);
-        KnownStep known = mParts.directory().get(id);
+        StepStatus known = mParts.directory().get(id);
         boolean inherited = known != null && known.mOwner != null;
         if (due == null && !inherited) {
             long delay = CLAIM_BASE_NANOS + CLAIM_PER_STEP_NANOS * mOwned.size();
@@ -407,7 +408,7 @@
         mClaimAt.put(id, now + RETRY_NANOS * 2);
         mClaiming.add(id);
         mParts.lease()
-                .with(
+                .acquire(
                         lease -> {
                             if (lease == 0) {
                                 mClaiming.remove(id);
@@ -419,16 +420,16 @@
     }
 
     private void claim(StepId id, long lease) {
-        KnownStep known = mParts.directory().get(id);
+        StepStatus known = mParts.directory().get(id);
         OptionalLong replaced =
                 known == null
                         ? OptionalLong.empty()
-                        : mParts.self().takes(known.mOwner, known.mOwnerRevision);
+                        : mParts.self().expectedRevision(known.mOwner, known.mOwnerRevision);
         if (replaced.isEmpty()) {
             mClaiming.remove(id);
             return;
         }
-        mStore.claim(id, replaced.getAsLong(), mParts.self().text(), lease)
+        mStore.claim(id, replaced.getAsLong(), mParts.self().format(), lease)
                 .thenAcceptAsync(
                         result -> {
                             long revision =
@@ -465,12 +466,12 @@
 
     private void loadLater(StepId id, long revision, String why) {
         mParts.log().write(LogLine.of("step.unloaded").with("step", id).with("why", why));
-        mParts.later(RETRY_NANOS, () -> load(id, revision));
+        mParts.schedule(RETRY_NANOS, () -> load(id, revision));
     }
 
     /** Adopts a step once its route is known, or it is certain that the route was removed. */
     private void onLoaded(StepId id, StoredStep stored, long revision) {
-        KnownStep known = mParts.directory().get(id);
+        StepStatus known = mParts.directory().get(id);
         StepManifest manifest = known == null ? null : known.mManifest;
         if (manifest == null || mParts.routeOf(manifest).isPresent()) {
             adopt(id, stored, revision);
@@ -501,7 +502,7 @@
     }
 
     private void adopt(StepId id, StoredStep stored, long revision) {
-        KnownStep known = mParts.directory().get(id);
+        StepStatus known = mParts.directory().get(id);
         StepManifest manifest = known == null ? null : known.mManifest;
         if (manifest == null || known.mEnded || mDraining) {
             return;
@@ -517,7 +518,7 @@
                                     .with("why", e.getMessage()));
             return;
         }
-        if (stored.listed().size() >= spec.samples().size()) {
+        if (stored.results().size() >= spec.samples().size()) {
             // It was finished before; the key that says so is on its way here.
             return;
         }
@@ -531,12 +532,12 @@
                 .write(
                         LogLine.of("step.taken")
                                 .with("step", id)
-                                .with("listed", stored.listed().size())
-                                .with("partial", stored.partial().size())
+                                .with("listed", stored.results().size())
+                                .with("partial", stored.checkpoints().size())
                                 .with("age_ms", age)
                                 .with("fence", revision));
         mMachine.onStepAcquired(
-                spec, route, stored.listed(), stored.partial(), age, System.nanoTime());
+                spec, route, stored.results(), stored.checkpoints(), age, System.nanoTime());
     }
 
     /** Begins a graceful stop: takes no more steps. */
@@ -553,7 +554,7 @@
             }
             mOwned.remove(id);
             mParts.log().write(LogLine.of("step.handover").with("step", id));
-            mStore.release(id, owned.mRevision, mMachine.handOver(id));
+            mStore.release(id, owned.mOwnerRevision, mMachine.handOver(id));
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepReader.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepReader.java
@@ -32,33 +32,33 @@
     private static final int MAX_SUBMISSIONS = 4;
 
     /** How a read ends. */
-    interface Answers {
+    interface ReadResponder {
         /** Results from a position on. */
-        void results(FrontExchange to, int total, int from, List<SampleResult> results);
+        void sendResults(FrontExchange to, int total, int from, List<SampleResult> results);
 
         /** The body of a sample. */
-        void body(FrontExchange to, byte[] body);
+        void sendBody(FrontExchange to, byte[] body);
 
         /** The step or sample does not exist. */
-        void missing(FrontExchange to, String what);
+        void sendNotFound(FrontExchange to, String what);
 
         /** It is not known whether the step exists, or what it holds. */
-        void unsure(FrontExchange to, Fault fault);
+        void sendFault(FrontExchange to, Fault fault);
     }
 
-    private final EntryParts mParts;
+    private final HostedContext mParts;
     private final SharedStore mShared;
     private final StepStore mStore;
-    private final Answers mAnswers;
+    private final ReadResponder mAnswers;
     private final ResultReader mResults;
-    private final Map<StepId, StepSpec> mSubmissions = lru(MAX_SUBMISSIONS);
+    private final Map<StepId, StepSpec> mSubmissions = newLruMap(MAX_SUBMISSIONS);
 
     StepReader(
-            EntryParts parts,
+            HostedContext parts,
             SharedStore shared,
             StepStore store,
             ResultReader.Ownership owner,
-            Answers answers) {
+            ReadResponder answers) {
         mParts = parts;
         mShared = shared;
         mStore = store;
@@ -69,7 +69,7 @@
     }
 
     /** Creates a map that keeps the steps that were used last. */
-    static <V> Map<StepId, V> lru(int most) {
+    static <V> Map<StepId, V> newLruMap(int most) {
         return new LinkedHashMap<>(most, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
@@ -94,16 +94,16 @@
                                 reply(to, manifest.samples(), from)));
     }
 
-    private ResultReader.Reply reply(FrontExchange to, int total, int from) {
-        return new ResultReader.Reply() {
+    private ResultReader.Callback reply(FrontExchange to, int total, int from) {
+        return new ResultReader.Callback() {
             @Override
-            public void results(List<SampleResult> results) {
-                mAnswers.results(to, total, from, results);
+            public void onResults(List<SampleResult> results) {
+                mAnswers.sendResults(to, total, from, results);
             }
 
             @Override
-            public void unsure(Fault fault) {
-                mAnswers.unsure(to, fault);
+            public void onFault(Fault fault) {
+                mAnswers.sendFault(to, fault);
             }
         };
     }
@@ -133,7 +133,7 @@
                                 manifest,
                                 (spec, fault) -> {
                                     if (fault != null) {
-                                        mAnswers.unsure(to, fault);
+                                        mAnswers.sendFault(to, fault);
                                     } else {
                                         answerSample(spec, sample, to);
                                     }
@@ -143,11 +143,11 @@
     private void answerSample(StepSpec spec, String sample, FrontExchange to) {
         for (SampleSpec candidate : spec.samples()) {
             if (candidate.id().equals(sample)) {
-                mAnswers.body(to, candidate.body());
+                mAnswers.sendBody(to, candidate.body());
                 return;
             }
         }
-        mAnswers.missing(to, "sample " + sample);
+        mAnswers.sendNotFound(to, "sample " + sample);
     }
 
     private void withSubmission(
@@ -193,13 +193,13 @@
 
     /** Gives {@code use} the manifest of a step, or ends the read if there is none. */
     void withManifest(StepId step, FrontExchange to, Consumer<StepManifest> use) {
-        KnownStep known = mParts.directory().get(step);
+        StepStatus known = mParts.directory().get(step);
         StepManifest manifest = known == null ? null : known.mManifest;
         if (manifest != null) {
             use.accept(manifest);
             return;
         }
-        mShared.get(StepKeys.live(step, StepKeys.MANIFEST))
+        mShared.get(StoreKeys.liveKey(step, StoreKeys.MANIFEST))
                 .thenAcceptAsync(result -> onManifest(step, to, use, result), mParts.executor());
     }
 
@@ -211,7 +211,7 @@
         result.fold(
                 item -> {
                     if (item.isEmpty()) {
-                        mAnswers.missing(to, "step " + step);
+                        mAnswers.sendNotFound(to, "step " + step);
                         return item;
                     }
                     try {
@@ -222,12 +222,12 @@
                                         LogLine.of("store.unreadable")
                                                 .with("key", item.get().key())
                                                 .with("why", e.getMessage()));
-                        mAnswers.unsure(to, unknown("the manifest can't be read"));
+                        mAnswers.sendFault(to, unknown("the manifest can't be read"));
                     }
                     return item;
                 },
                 fault -> {
-                    mAnswers.unsure(to, fault);
+                    mAnswers.sendFault(to, fault);
                     return null;
                 });
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/KnownStep.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStatus.java
@@ -7,7 +7,7 @@
  *
  * <p>Not thread safe; confined to the entry's duty.
  */
-final class KnownStep {
+final class StepStatus {
     @Nullable StepManifest mManifest;
     @Nullable String mOwner;
     long mOwnerRevision;
@@ -15,7 +15,7 @@
     boolean mDone;
 
     /** Returns whether no live key of the step is left. */
-    boolean isForgotten() {
+    boolean hasNoKeys() {
         return mManifest == null && mOwner == null && !mEnded && !mDone;
     }
 
@@ -23,9 +23,9 @@
      * Returns whether a process must see to the step: nobody owns it, an earlier process of the
      * same VM does, which can't run any more, or the process itself does.
      */
-    boolean concerns(ProcessName self) {
+    boolean isOwnedOrClaimableBy(ProcessName self) {
         boolean open = mManifest != null && !mEnded && !mDone;
-        boolean own = mOwner != null && mOwner.equals(self.text());
+        boolean own = mOwner != null && mOwner.equals(self.format());
         return open && (mOwner == null || own || self.isSuccessorOf(mOwner));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
@@ -45,7 +45,7 @@
         int last = chunks.size() - CHUNKS_AT_ONCE;
         for (int i = 0; i < last; i++) {
             Transaction chunk =
-                    Transaction.builder().write(StepKeys.chunk(id, i), chunks.get(i)).build();
+                    Transaction.builder().write(StoreKeys.chunkKey(id, i), chunks.get(i)).build();
             before =
                     before.thenCompose(
                             result ->
@@ -53,14 +53,14 @@
                                             ? mStore.commit(chunk)
                                             : CompletableFuture.completedFuture(result));
         }
-        String manifestKey = StepKeys.live(id, StepKeys.MANIFEST);
+        String manifestKey = StoreKeys.liveKey(id, StoreKeys.MANIFEST);
         Transaction accept =
                 Transaction.builder()
                         .expect(manifestKey, Transaction.ABSENT)
-                        .write(StepKeys.chunk(id, last), chunks.get(last))
+                        .write(StoreKeys.chunkKey(id, last), chunks.get(last))
                         .write(manifestKey, StepCodec.manifest(manifest))
                         .write(
-                                StepKeys.live(id, StepKeys.OWNER),
+                                StoreKeys.liveKey(id, StoreKeys.OWNER),
                                 owner.getBytes(StandardCharsets.UTF_8),
                                 lease)
                         .build();
@@ -81,7 +81,7 @@
 
     /** Returns whether a step is accepted. */
     CompletableFuture<Result<Boolean>> isAccepted(StepId id) {
-        return mStore.get(StepKeys.live(id, StepKeys.MANIFEST))
+        return mStore.get(StoreKeys.liveKey(id, StoreKeys.MANIFEST))
                 .thenApply(result -> result.map(Optional::isPresent));
     }
 
@@ -92,12 +92,12 @@
      */
     CompletableFuture<Result<Commit>> claim(
             StepId id, long ownerRevision, String owner, long lease) {
-        String key = StepKeys.live(id, StepKeys.OWNER);
+        String key = StoreKeys.liveKey(id, StoreKeys.OWNER);
         return mStore.commit(
                 Transaction.builder()
                         .expect(key, ownerRevision)
-                        .expect(StepKeys.live(id, StepKeys.END), Transaction.ABSENT)
-                        .expect(StepKeys.live(id, StepKeys.DONE), Transaction.ABSENT)
+                        .expect(StoreKeys.liveKey(id, StoreKeys.END), Transaction.ABSENT)
+                        .expect(StoreKeys.liveKey(id, StoreKeys.DONE), Transaction.ABSENT)
                         .write(key, owner.getBytes(StandardCharsets.UTF_8), lease)
                         .build());
     }
@@ -107,41 +107,42 @@
      *
      * @param partial texts of unfinished samples to keep with them; empty to leave them as they are
      */
-    CompletableFuture<Result<Commit>> append(
+    CompletableFuture<Result<Commit>> appendResults(
             StepId id,
             long ownerRevision,
             int position,
             byte[] results,
             byte[] partial,
             boolean last) {
-        String ownerKey = StepKeys.live(id, StepKeys.OWNER);
-        String resultKey = StepKeys.result(id, position);
+        String ownerKey = StoreKeys.liveKey(id, StoreKeys.OWNER);
+        String resultKey = StoreKeys.resultKey(id, position);
         Transaction.Builder transaction =
                 Transaction.builder()
                         .expect(ownerKey, ownerRevision)
                         .expect(resultKey, Transaction.ABSENT)
                         .write(resultKey, results);
         if (partial.length > 0) {
-            transaction.write(StepKeys.partial(id), partial);
+            transaction.write(StoreKeys.checkpointKey(id), partial);
         }
         if (last) {
-            transaction.write(StepKeys.live(id, StepKeys.DONE), new byte[] {'1'});
+            transaction.write(StoreKeys.liveKey(id, StoreKeys.DONE), new byte[] {'1'});
         }
         return mStore.commit(transaction.build());
     }
 
     /** Keeps texts of unfinished samples, if the owner's key is unchanged. */
-    CompletableFuture<Result<Commit>> checkpoint(StepId id, long ownerRevision, byte[] partial) {
+    CompletableFuture<Result<Commit>> storeCheckpoint(
+            StepId id, long ownerRevision, byte[] partial) {
         return mStore.commit(
                 Transaction.builder()
-                        .expect(StepKeys.live(id, StepKeys.OWNER), ownerRevision)
-                        .write(StepKeys.partial(id), partial)
+                        .expect(StoreKeys.liveKey(id, StoreKeys.OWNER), ownerRevision)
+                        .write(StoreKeys.checkpointKey(id), partial)
                         .build());
     }
 
     /** Notes that the trainer ended a step. */
-    CompletableFuture<Result<Commit>> end(StepId id) {
-        String key = StepKeys.live(id, StepKeys.END);
+    CompletableFuture<Result<Commit>> markEnded(StepId id) {
+        String key = StoreKeys.liveKey(id, StoreKeys.END);
         return mStore.commit(
                 Transaction.builder()
                         .expect(key, Transaction.ABSENT)
@@ -152,24 +153,24 @@
     /** Hands a step over: keeps texts of unfinished samples and gives the ownership up. */
     CompletableFuture<Result<Commit>> release(
             StepId id, long ownerRevision, List<SampleCheckpoint> texts) {
-        String ownerKey = StepKeys.live(id, StepKeys.OWNER);
+        String ownerKey = StoreKeys.liveKey(id, StoreKeys.OWNER);
         Transaction.Builder transaction =
                 Transaction.builder().expect(ownerKey, ownerRevision).remove(ownerKey);
-        byte[] partial = StepCodec.partial(texts);
+        byte[] partial = StepCodec.checkpoint(texts);
         if (!texts.isEmpty() && partial.length <= CHUNK_BYTES) {
-            transaction.write(StepKeys.partial(id), partial);
+            transaction.write(StoreKeys.checkpointKey(id), partial);
         }
         return mStore.commit(transaction.build());
     }
 
     /** Removes everything that is kept of a step. */
-    CompletableFuture<Result<Void>> forget(StepId id) {
+    CompletableFuture<Result<Void>> delete(StepId id) {
         List<String> live = new ArrayList<>();
         for (String part :
-                List.of(StepKeys.MANIFEST, StepKeys.OWNER, StepKeys.END, StepKeys.DONE)) {
-            live.add(StepKeys.live(id, part));
+                List.of(StoreKeys.MANIFEST, StoreKeys.OWNER, StoreKeys.END, StoreKeys.DONE)) {
+            live.add(StoreKeys.liveKey(id, part));
         }
-        return readAll(StepKeys.data(id), "", new ArrayList<>(), 0)
+        return readAll(StoreKeys.dataPrefix(id), "", new ArrayList<>(), 0)
                 .thenCompose(
                         result ->
                                 result.fold(
@@ -200,13 +201,13 @@
 
     /** Reads the bulk of a step. */
     CompletableFuture<Result<StoredStep>> load(StepId id) {
-        return readAll(StepKeys.data(id), "", new ArrayList<>(), 0)
+        return readAll(StoreKeys.dataPrefix(id), "", new ArrayList<>(), 0)
                 .thenApply(result -> result.flatMap(StepStore::read));
     }
 
     /** Reads the results of a step. */
     CompletableFuture<Result<StoredStep>> loadResults(StepId id) {
-        return readAll(StepKeys.results(id), "", new ArrayList<>(), 0)
+        return readAll(StoreKeys.resultsPrefix(id), "", new ArrayList<>(), 0)
                 .thenApply(result -> result.flatMap(StepStore::read));
     }
 
@@ -253,12 +254,12 @@
         List<SampleResult> listed = new ArrayList<>();
         List<SampleCheckpoint> partial = new ArrayList<>();
         for (StoreItem item : page.items()) {
-            if (StepKeys.isChunk(item.key())) {
+            if (StoreKeys.isChunkKey(item.key())) {
                 submission.writeBytes(item.value());
-            } else if (StepKeys.isResult(item.key())) {
+            } else if (StoreKeys.isResultKey(item.key())) {
                 listed.addAll(StepCodec.results(item.value()));
             } else {
-                partial.addAll(StepCodec.partial(item.value()));
+                partial.addAll(StepCodec.checkpoint(item.value()));
             }
         }
         return new StoredStep(submission.toByteArray(), listed, partial, page.revision());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreHealth.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreHealth.java
@@ -15,10 +15,10 @@
  */
 final class StoreHealth {
     /** The time between two probes while the store does not answer. */
-    static final long PROBE_NANOS = Nanos.ofMillis(250);
+    static final long PROBE_INTERVAL_NANOS = Nanos.ofMillis(250);
 
     /** How many probes may be open. */
-    static final int MAX_OPEN = 4;
+    static final int MAX_OPEN_PROBES = 4;
 
     /** Carries out what the health of the store asks for. */
     interface Listener {
@@ -27,13 +27,13 @@
          *
          * @param round the round in which it is sent
          */
-        void probe(int round);
+        void sendProbe(int round);
 
         /** The store does not answer. */
-        void onAway(String why);
+        void onUnavailable(String why);
 
         /** The store answers again. */
-        void onBack();
+        void onAvailable();
     }
 
     private final Listener mListener;
@@ -49,38 +49,38 @@
     }
 
     /** Returns whether the store does not answer. */
-    boolean isAway() {
+    boolean isUnavailable() {
         return mAway;
     }
 
     /** Returns for how long the store has not answered, in nanoseconds; zero if it answers. */
-    long awayNanos(long now) {
+    long outageNanos(long now) {
         return mAway ? now - mAwaySince : 0;
     }
 
     /** Notes that a call got no proper answer, which says little of others: asks once. */
-    void onDoubt(long now) {
+    void onCallFault(long now) {
         if (!mAway) {
             probe(now);
         }
     }
 
     /** Notes that a watch got no proper answer. */
-    void onFault(String why, long now) {
+    void onWatchFault(String why, long now) {
         if (!mAway) {
             mAway = true;
             mAwaySince = now;
-            mListener.onAway(why);
+            mListener.onUnavailable(why);
             probe(now);
         }
     }
 
     /** Notes a proper answer. */
-    void onAnswer() {
+    void onResponse() {
         if (mAway) {
             mAway = false;
             mRound++;
-            mListener.onBack();
+            mListener.onAvailable();
         }
     }
 
@@ -94,9 +94,9 @@
     void onProbeEnd(int round, String fault, long now) {
         mOpen--;
         if (fault.isEmpty()) {
-            onAnswer();
+            onResponse();
         } else if (round == mRound) {
-            onFault(fault, now);
+            onWatchFault(fault, now);
         }
     }
 
@@ -108,12 +108,12 @@
     }
 
     private void probe(long now) {
-        boolean due = !mProbed || now - mProbedAt >= PROBE_NANOS;
-        if (due && mOpen < MAX_OPEN) {
+        boolean due = !mProbed || now - mProbedAt >= PROBE_INTERVAL_NANOS;
+        if (due && mOpen < MAX_OPEN_PROBES) {
             mProbed = true;
             mProbedAt = now;
             mOpen++;
-            mListener.probe(mRound);
+            mListener.sendProbe(mRound);
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepKeys.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreKeys.java
@@ -3,12 +3,12 @@
 import org.ebonyrun.core.step.StepId;
 
 /** The keys of the shared store that this project uses. Stateless, thread safe. */
-final class StepKeys {
+final class StoreKeys {
     /** The prefix of small keys that every entry watches. */
-    static final String LIVE = "ebonyrun/live/";
+    static final String LIVE_PREFIX = "ebonyrun/live/";
 
     /** The holder of the weight planner. */
-    static final String PLANNER = LIVE + "planner";
+    static final String PLANNER = LIVE_PREFIX + "planner";
 
     /** When the planner ordered which endpoint; read by the next holder only. */
     static final String ORDERS = "ebonyrun/planner/orders";
@@ -19,21 +19,21 @@
     static final String DONE = "done";
 
     private static final int DIGITS = 8;
-    private static final String STEP = LIVE + "step/";
+    private static final String STEP = LIVE_PREFIX + "step/";
     private static final String DATA = "ebonyrun/data/";
 
-    private StepKeys() {}
+    private StoreKeys() {}
 
-    static String live(StepId step, String part) {
+    static String liveKey(StepId step, String part) {
         return STEP + step + "/" + part;
     }
 
     /** Returns whether a key belongs to a step. */
-    static boolean isStep(String key) {
+    static boolean isLiveStepKey(String key) {
         return key.startsWith(STEP) && key.indexOf('/', STEP.length()) > STEP.length();
     }
 
-    static StepId step(String key) {
+    static StepId stepId(String key) {
         return StepId.of(key.substring(STEP.length(), key.indexOf('/', STEP.length())));
     }
 
@@ -41,24 +41,24 @@
         return key.substring(key.indexOf('/', STEP.length()) + 1);
     }
 
-    static String data(StepId step) {
+    static String dataPrefix(StepId step) {
         return DATA + step + "/";
     }
 
-    static String chunk(StepId step, int number) {
-        return data(step) + "chunk/" + padded(number);
+    static String chunkKey(StepId step, int number) {
+        return dataPrefix(step) + "chunk/" + padded(number);
     }
 
-    static String results(StepId step) {
-        return data(step) + "result/";
+    static String resultsPrefix(StepId step) {
+        return dataPrefix(step) + "result/";
     }
 
-    static String result(StepId step, int position) {
-        return results(step) + padded(position);
+    static String resultKey(StepId step, int position) {
+        return resultsPrefix(step) + padded(position);
     }
 
     /** Returns the position of the first result under a key. */
-    static int position(String resultKey) {
+    static int resultPosition(String resultKey) {
         return Integer.parseInt(resultKey.substring(resultKey.lastIndexOf('/') + 1));
     }
 
@@ -68,15 +68,15 @@
         return "0".repeat(Math.max(0, DIGITS - digits.length())) + digits;
     }
 
-    static String partial(StepId step) {
-        return data(step) + "partial";
+    static String checkpointKey(StepId step) {
+        return dataPrefix(step) + "partial";
     }
 
-    static boolean isChunk(String key) {
+    static boolean isChunkKey(String key) {
         return key.contains("/chunk/");
     }
 
-    static boolean isResult(String key) {
+    static boolean isResultKey(String key) {
         return key.contains("/result/");
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreWatch.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreWatch.java
@@ -17,7 +17,7 @@
  * Follows the keys of one prefix: reads them all, then waits for changes; reads them all again when
  * the store no longer knows what changed.
  *
- * <p>A call is answered after at most the wait of its {@link Pace}, so a connection that fell
+ * <p>A call is answered after at most the wait of its {@link Timing}, so a connection that fell
  * silent is noticed within that time and a short slack. After a fault the watch rests until it is
  * told that the store is back.
  *
@@ -38,7 +38,7 @@
      * @param gatherNanos how long to wait after a change, so that those that follow come with one
      *     call, in nanoseconds
      */
-    record Pace(long waitMillis, long gatherNanos) {}
+    record Timing(long waitMillis, long batchNanos) {}
 
     /** Hears what a watch finds. */
     interface Listener {
@@ -49,7 +49,7 @@
         void onChange(StoreChange change);
 
         /** The store answered. */
-        void onAnswer();
+        void onResponse();
 
         /** The store did not answer as it should. */
         void onFault(Fault fault);
@@ -57,7 +57,7 @@
 
     private final SharedStore mStore;
     private final String mPrefix;
-    private final Supplier<Pace> mPace;
+    private final Supplier<Timing> mPace;
     private final Executor mExecutor;
     private final Listener mListener;
     private boolean mSynced;
@@ -80,7 +80,7 @@
     StoreWatch(
             SharedStore store,
             String prefix,
-            Supplier<Pace> pace,
+            Supplier<Timing> pace,
             Executor executor,
             Listener listener) {
         mStore = store;
@@ -102,7 +102,7 @@
 
     /** Goes on after a change, or after the store's return. */
     void onTick(long now) {
-        if (mGathering && now - mChangedAt >= mPace.get().gatherNanos()) {
+        if (mGathering && now - mChangedAt >= mPace.get().batchNanos()) {
             mGathering = false;
             follow();
         } else if (mResuming && now - mResumeAt >= 0) {
@@ -119,7 +119,7 @@
      * Goes on after the store's return: asks again after a fault, and abandons a call that waits,
      * since its answer may have been lost meanwhile.
      */
-    void onStoreBack() {
+    void onStoreAvailable() {
         if (mFaulty || mWaiting) {
             mFaulty = false;
             mHurried = true;
@@ -150,7 +150,7 @@
         mWaiting = false;
         result.fold(
                 page -> {
-                    mListener.onAnswer();
+                    mListener.onResponse();
                     items.addAll(page.items());
                     // The first page's revision covers every change after it.
                     long first = revision == 0 ? page.revision() : revision;
@@ -183,7 +183,7 @@
         mWaiting = false;
         result.fold(
                 changes -> {
-                    mListener.onAnswer();
+                    mListener.onResponse();
                     if (changes.historyGone()) {
                         mRevision = 0;
                         start();
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoredStep.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoredStep.java
@@ -14,6 +14,6 @@
  */
 record StoredStep(
         byte[] submission,
-        List<SampleResult> listed,
-        List<SampleCheckpoint> partial,
+        List<SampleResult> results,
+        List<SampleCheckpoint> checkpoints,
         long revision) {}
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StorePaces.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/WatchTimings.java
@@ -8,7 +8,7 @@
  * <p>Answers the load of many entries that follow the same keys: a watch waits as long, and gathers
  * changes for as long, as the deployment's limits allow. Stateless and thread safe.
  */
-final class StorePaces {
+final class WatchTimings {
     // How much sooner than its limit a connection that fell silent is noticed: the slack of the
     // store's client, and the time of a new call.
     private static final long CONTACT_SLACK_MILLIS = 800;
@@ -24,27 +24,27 @@
     // For an entry that owns nothing: it needs steps only to take them when their owner is gone.
     private static final long IDLE_STEPS_MILLIS = 2_000;
 
-    private StorePaces() {}
+    private WatchTimings() {}
 
     /** Returns the pace at which an entry hears of configurations and named versions. */
-    static StoreWatch.Pace operator(EntryLimits limits, boolean idle) {
+    static StoreWatch.Timing forOperatorKeys(EntryLimits limits, boolean idle) {
         // An entry that owns nothing needs no version at once.
-        return pace(limits, idle ? (long) (CONFIG_SHARE * limits.configMillis()) : 0);
+        return pace(limits, idle ? (long) (CONFIG_SHARE * limits.configDelayMillis()) : 0);
     }
 
     /** Returns the pace at which an entry hears of endpoints. */
-    static StoreWatch.Pace endpoints(EntryLimits limits, boolean idle) {
-        long gather = (long) (LEAVING_SHARE * limits.leavingMillis());
+    static StoreWatch.Timing forEndpointKeys(EntryLimits limits, boolean idle) {
+        long gather = (long) (LEAVING_SHARE * limits.leavingDelayMillis());
         return pace(limits, idle ? gather : Math.min(gather, VERSIONS_MILLIS));
     }
 
     /** Returns the pace at which an entry hears of steps and their owners. */
-    static StoreWatch.Pace steps(EntryLimits limits, boolean idle) {
+    static StoreWatch.Timing forStepKeys(EntryLimits limits, boolean idle) {
         return pace(limits, idle ? IDLE_STEPS_MILLIS : STEPS_MILLIS);
     }
 
-    private static StoreWatch.Pace pace(EntryLimits limits, long gatherMillis) {
-        long wait = Math.max(LEAST_WAIT_MILLIS, limits.contactMillis() - CONTACT_SLACK_MILLIS);
-        return new StoreWatch.Pace(wait, Nanos.ofMillis(gatherMillis));
+    private static StoreWatch.Timing pace(EntryLimits limits, long gatherMillis) {
+        long wait = Math.max(LEAST_WAIT_MILLIS, limits.catchUpMillis() - CONTACT_SLACK_MILLIS);
+        return new StoreWatch.Timing(wait, Nanos.ofMillis(gatherMillis));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StutterFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
@@ -28,9 +28,9 @@
  *
  * <p>Waits are looks at an entry that no endpoint hears of, so they don't touch its connections.
  */
-abstract class StutterFixture extends HostedFixture {
+abstract class DuplicateResponseFixture extends HostedFixture {
     // Long enough for the entry to try a request again, which takes it some of its ticks.
-    static final int LOOKS = 600;
+    static final int RETRY_POLLS = 600;
     private static final int MOST_PAGES = 60;
     // Above the time for which an entry may keep an endpoint whose record is gone.
     private static final int MOST_WARM_CALLS = 40_000;
@@ -44,8 +44,8 @@
         mEndpoint = StutteringEndpoint.start("i-2", mScene.events(), Stutter.never());
         mScene.unregister("i-1");
         mScene.register(mEndpoint.id(), mEndpoint.address(), "ready", 1);
-        untilServed(mFirst, mEndpoint);
-        untilServed(mSecond, mEndpoint);
+        callUntilServedBy(mFirstFront, mEndpoint);
+        callUntilServedBy(mSecondFront, mEndpoint);
     }
 
     @AfterEach
@@ -54,7 +54,7 @@
     }
 
     /** Sends calls to an entry until an endpoint has received one. */
-    void untilServed(String front, StutteringEndpoint endpoint) {
+    void callUntilServedBy(String front, StutteringEndpoint endpoint) {
         boolean served = false;
         for (int i = 0; i < MOST_WARM_CALLS && !served; i++) {
             String id = "warm-" + front + "-" + i;
@@ -65,11 +65,11 @@
     }
 
     /** Sends a call whose caller waits for long. */
-    CompletableFuture<HttpReply> ask(String front, String path, String id, String body) {
-        return ask(front, path, id, body, CALLER_MILLIS);
+    CompletableFuture<HttpReply> sendAsync(String front, String path, String id, String body) {
+        return sendAsync(front, path, id, body, CALLER_MILLIS);
     }
 
-    CompletableFuture<HttpReply> ask(
+    CompletableFuture<HttpReply> sendAsync(
             String front, String path, String id, String body, long deadlineMillis) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         HttpCall call =
@@ -84,9 +84,9 @@
     }
 
     /** Looks at an entry until something holds, at most a number of times. */
-    void look(int most, BooleanSupplier wanted) {
+    void pollUntil(int most, BooleanSupplier wanted) {
         for (int i = 0; i < most && !wanted.getAsBoolean(); i++) {
-            send(mSecond, "POST", "/none/1", "look", "");
+            send(mSecondFront, "POST", "/none/1", "look", "");
         }
     }
 
@@ -94,8 +94,8 @@
      * Waits for the answer to a call, and releases what the endpoint holds back once the entry had
      * time to send the call once more.
      */
-    HttpReply answer(CompletableFuture<HttpReply> asked, String id) {
-        look(LOOKS, () -> asked.isDone() || mEndpoint.runs(id).size() > 1);
+    HttpReply awaitResponse(CompletableFuture<HttpReply> asked, String id) {
+        pollUntil(RETRY_POLLS, () -> asked.isDone() || mEndpoint.runs(id).size() > 1);
         mEndpoint.release();
         return asked.join();
     }
@@ -105,7 +105,7 @@
     }
 
     /** Reads results of a step until there are as many as wanted. */
-    List<JsonNode> listed(String front, String step, int wanted) {
+    List<JsonNode> readResults(String front, String step, int wanted) {
         List<JsonNode> results = new ArrayList<>();
         for (int i = 0; i < MOST_PAGES && results.size() < wanted; i++) {
             String path = mScene.resultsPath(step, results.size());
@@ -148,7 +148,7 @@
                 .orElseThrow(() -> new AssertionError("no run " + run));
     }
 
-    static void checkOwn(HttpReply reply, String body) {
+    static void checkEchoed(HttpReply reply, String body) {
         assertThat("status of the answer", reply.status(), is(OK));
         assertThat("body of the answer", reply.text(), is(body));
     }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StutterSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
@@ -35,7 +35,7 @@
  * Plays calls and steps in a seeded order while two endpoints answer twice in all ways, and
  * compares what callers and trainers were told with what the endpoints did.
  */
-class StutterSoakTest extends StutterFixture {
+class DuplicateResponseSoakTest extends DuplicateResponseFixture {
     /** The number of seeds that are played. */
     private static final String SEEDS = "ebonyrun.stutter.seeds";
 
@@ -134,13 +134,14 @@
     }
 
     private String front() {
-        return mRandom.nextBoolean() ? mFirst : mSecond;
+        return mRandom.nextBoolean() ? mFirstFront : mSecondFront;
     }
 
     private void call(String id, boolean onceOnly) {
         String body = "body of " + id;
         String path = onceOnly ? mScene.onceOnlyPath() : mScene.callPath();
-        Call call = new Call(id, onceOnly, body, ask(front(), path, id, body, DEADLINE_MILLIS));
+        Call call =
+                new Call(id, onceOnly, body, sendAsync(front(), path, id, body, DEADLINE_MILLIS));
         mCalls.add(call);
         mOpenCalls.add(call);
     }
@@ -185,7 +186,7 @@
         boolean scored = mRandom.nextBoolean();
         String body = mScene.stepBody(mSteps.size() + 1, samples, scored);
         int status = 0;
-        for (int i = 0; i < MOST_TRIES && status != 202; i++) {
+        for (int i = 0; i < MAX_TRIES && status != 202; i++) {
             status = send(front(), "POST", mScene.stepPath(), id, body).status();
         }
         assertThat(id, status, is(202));
@@ -246,13 +247,14 @@
             // Steps are read in the order of their submission.
             List<JsonNode> listed = mListed.get(i);
             listed.forEach(result -> checks.add(() -> check(result.toString(), step, result)));
-            checks.add(() -> assertThat(readAll(step, () -> mFirst), is(listed)));
-            checks.add(() -> assertThat(readAll(step, () -> mSecond), is(listed)));
+            checks.add(() -> assertThat(readAll(step, () -> mFirstFront), is(listed)));
+            checks.add(() -> assertThat(readAll(step, () -> mSecondFront), is(listed)));
         }
         // From here on an order that is given is carried out; one that isn't given stays away.
         mEndpoint.stutter(Stutter.never());
         mOther.stutter(Stutter.never());
-        look(VERSION_LOOKS, () -> mEndpoint.version() >= VERSION && mOther.version() >= VERSION);
+        pollUntil(
+                VERSION_LOOKS, () -> mEndpoint.version() >= VERSION && mOther.version() >= VERSION);
         for (StutteringEndpoint endpoint : List.of(mEndpoint, mOther)) {
             String id = endpoint.id();
             checks.add(() -> assertThat(id, endpoint.version(), is(VERSION)));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StutterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What callers and trainers see of an endpoint that answers requests twice. */
-class StutterTest extends StutterFixture {
+class DuplicateResponseTest extends DuplicateResponseFixture {
     // Enough looks for the planner, which tries an order again after a part of a second.
     private static final int PLANNER_LOOKS = 15_000;
     // Over before an entry tries a refused call again.
@@ -37,10 +37,11 @@
     void aCallThatRunsOnceIsNotRunAgainBecauseItsRefusalComesTwice() {
         Plan refusal = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE);
         mEndpoint.stutter(Stutter.scripted(Map.of("u1", List.of(refusal, LAGGING))));
-        HttpReply reply = answer(ask(mFirst, mScene.onceOnlyPath(), "u1", "pay"), "u1");
+        HttpReply reply =
+                awaitResponse(sendAsync(mFirstFront, mScene.onceOnlyPath(), "u1", "pay"), "u1");
 
         assertThat("runs of the call", mEndpoint.runs("u1").size(), is(1));
-        checkOwn(reply, "pay");
+        checkEchoed(reply, "pay");
     }
 
     @ParameterizedTest
@@ -51,7 +52,10 @@
         for (int i = 0; i < SHORT_CALLS; i++) {
             String id = "u2-" + i;
             HttpReply reply =
-                    answer(ask(mFirst, mScene.onceOnlyPath(), id, "pay", deadlineMillis), id);
+                    awaitResponse(
+                            sendAsync(
+                                    mFirstFront, mScene.onceOnlyPath(), id, "pay", deadlineMillis),
+                            id);
             int runs = mEndpoint.runs(id).size();
             // Each call is to meet its own refusal only, not what an earlier one has left behind.
             mEndpoint.release();
@@ -75,10 +79,10 @@
             Reply reply, Repeat repeat, Framing framing) {
         Plan other = Plan.of(reply).repeated(repeat).framed(framing, framing);
         mEndpoint.stutter(Stutter.scripted(Map.of("x1", List.of(other))));
-        ask(mFirst, mScene.onceOnlyPath(), "x1", "other").join();
-        HttpReply own = ask(mFirst, mScene.onceOnlyPath(), "u3", "pay").join();
+        sendAsync(mFirstFront, mScene.onceOnlyPath(), "x1", "other").join();
+        HttpReply own = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u3", "pay").join();
 
-        checkOwn(own, "pay");
+        checkEchoed(own, "pay");
         assertThat("runs of the call", mEndpoint.runs("u3").size(), is(1));
     }
 
@@ -88,7 +92,9 @@
         List<Integer> runs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             String id = "turn-" + i;
-            checkOwn(send(mFirst, "POST", mScene.callPath(), id, "body of " + id), "body of " + id);
+            checkEchoed(
+                    send(mFirstFront, "POST", mScene.callPath(), id, "body of " + id),
+                    "body of " + id);
             runs.add(mEndpoint.runs(id).size());
         }
 
@@ -100,10 +106,10 @@
         Plan failure = Plan.of(Reply.FAILED).repeated(Repeat.LATE);
         Plan lagging = failure.held(Hold.BEHIND_ANOTHER, Stutter.UNTIL_RELEASED);
         mEndpoint.stutter(Stutter.scripted(Map.of("p1", List.of(failure, lagging, RUN))));
-        submit(mFirst, "st1", mScene.stepBody(1, List.of("p1"), false));
-        look(LOOKS, () -> mEndpoint.received("p1").size() > 2);
+        submit(mFirstFront, "st1", mScene.stepBody(1, List.of("p1"), false));
+        pollUntil(RETRY_POLLS, () -> mEndpoint.received("p1").size() > 2);
         mEndpoint.release();
-        JsonNode result = listed(mFirst, "st1", 1).get(0);
+        JsonNode result = readResults(mFirstFront, "st1", 1).get(0);
         long failures = mEndpoint.runs("p1").stream().filter(r -> r.status() == 500).count();
 
         assertThat(
@@ -116,15 +122,15 @@
         Plan unframed =
                 RUN.framed(Framing.CLOSE, Framing.CLOSE).held(Hold.ALWAYS, Stutter.UNTIL_RELEASED);
         mEndpoint.stutter(Stutter.scripted(Map.of("p1", List.of(unframed, TWICE, RUN))));
-        submit(mFirst, "st2", mScene.stepBody(2, List.of("p1", "p2"), false));
-        listed(mFirst, "st2", 1);
-        look(LOOKS, () -> !mEndpoint.runs("p1").isEmpty());
+        submit(mFirstFront, "st2", mScene.stepBody(2, List.of("p1", "p2"), false));
+        readResults(mFirstFront, "st2", 1);
+        pollUntil(RETRY_POLLS, () -> !mEndpoint.runs("p1").isEmpty());
         mEndpoint.release();
-        listed(mFirst, "st2", 2);
+        readResults(mFirstFront, "st2", 2);
         // The trainer's count of steps is lower, so that nothing of the first step is used.
-        submit(mFirst, "st3", mScene.stepBody(1, List.of("p1"), false));
+        submit(mFirstFront, "st3", mScene.stepBody(1, List.of("p1"), false));
 
-        checkText(listed(mFirst, "st3", 1).get(0), mScene.events(), mEndpoint.received());
+        checkText(readResults(mFirstFront, "st3", 1).get(0), mScene.events(), mEndpoint.received());
     }
 
     @Test
@@ -132,12 +138,12 @@
         Plan broken = Plan.brokenAfter(2).held(Hold.ALWAYS, Stutter.UNTIL_RELEASED);
         mEndpoint.stutter(
                 Stutter.scripted(Map.of("p1", List.of(broken, RUN), "x1", List.of(TWICE))));
-        submit(mFirst, "st4", mScene.stepBody(1, List.of("p1"), false));
-        look(LOOKS, () -> !mEndpoint.runs("p1").isEmpty());
+        submit(mFirstFront, "st4", mScene.stepBody(1, List.of("p1"), false));
+        pollUntil(RETRY_POLLS, () -> !mEndpoint.runs("p1").isEmpty());
         // While the first run has a connection, this call leaves its answer on another one.
-        checkOwn(send(mFirst, "POST", mScene.callPath(), "x1", "other"), "other");
+        checkEchoed(send(mFirstFront, "POST", mScene.callPath(), "x1", "other"), "other");
         mEndpoint.release();
-        JsonNode result = listed(mFirst, "st4", 1).get(0);
+        JsonNode result = readResults(mFirstFront, "st4", 1).get(0);
 
         checkText(result, mScene.events(), mEndpoint.received());
         List<Integer> asked =
@@ -152,8 +158,8 @@
         for (int i = 1; i <= 4; i++) {
             String step = "st5-" + i;
             List<String> samples = List.of("p" + i + "a", "p" + i + "b", "p" + i + "c");
-            submit(mFirst, step, mScene.stepBody(i, samples, false));
-            for (JsonNode result : listed(mFirst, step, samples.size())) {
+            submit(mFirstFront, step, mScene.stepBody(i, samples, false));
+            for (JsonNode result : readResults(mFirstFront, step, samples.size())) {
                 checkText(result, mScene.events(), mEndpoint.received());
             }
             for (String sample : samples) {
@@ -170,7 +176,7 @@
                                 mScene.reportPath(), List.of(TWICE, RUN),
                                 mScene.orderPath(), List.of(Plan.of(Reply.CONFLICT), RUN))));
         mScene.nameVersion(3);
-        look(PLANNER_LOOKS, () -> mEndpoint.version() == 3);
+        pollUntil(PLANNER_LOOKS, () -> mEndpoint.version() == 3);
 
         assertThat("orders " + mEndpoint.received(mScene.orderPath()), mEndpoint.version(), is(3));
     }
@@ -183,10 +189,10 @@
                                 mScene.reportPath(), List.of(LAGGING),
                                 mScene.orderPath(), List.of(TWICE, Plan.of(Reply.CONFLICT), RUN))));
         mScene.nameVersion(3);
-        look(PLANNER_LOOKS, () -> mEndpoint.received(mScene.reportPath()).size() > 1);
+        pollUntil(PLANNER_LOOKS, () -> mEndpoint.received(mScene.reportPath()).size() > 1);
         assertThat(mEndpoint.version(), is(3));
         mScene.nameVersion(5);
-        look(PLANNER_LOOKS, () -> mEndpoint.version() == 5);
+        pollUntil(PLANNER_LOOKS, () -> mEndpoint.version() == 5);
 
         assertThat("orders " + mEndpoint.received(mScene.orderPath()), mEndpoint.version(), is(5));
     }
@@ -196,12 +202,13 @@
         Plan refusal = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE).withoutIdWhenRepeated();
         mEndpoint.stutter(request -> request.key().startsWith("x-") ? refusal : LAGGING);
         boolean refusedOnce = false;
-        for (int i = 0; i < MOST_TRIES && !refusedOnce; i++) {
+        for (int i = 0; i < MAX_TRIES && !refusedOnce; i++) {
             String id = "x-" + i;
-            ask(mFirst, mScene.callPath(), id, "other", SHORT_DEADLINE_MILLIS).join();
+            sendAsync(mFirstFront, mScene.callPath(), id, "other", SHORT_DEADLINE_MILLIS).join();
             refusedOnce = mEndpoint.received(id).size() == 1;
         }
-        HttpReply reply = answer(ask(mFirst, mScene.onceOnlyPath(), "u4", "pay"), "u4");
+        HttpReply reply =
+                awaitResponse(sendAsync(mFirstFront, mScene.onceOnlyPath(), "u4", "pay"), "u4");
 
         checkRunOnceOrLost("u4", reply);
     }
@@ -210,8 +217,8 @@
     void aCallThatRunsOnceDoesNotFailBecauseAFailureThatNamesNoCallComesInFront() {
         Plan failure = Plan.of(Reply.FAILED).repeated(Repeat.LATE).withoutIdWhenRepeated();
         mEndpoint.stutter(Stutter.scripted(Map.of("x1", List.of(failure))));
-        ask(mFirst, mScene.onceOnlyPath(), "x1", "other").join();
-        HttpReply reply = ask(mFirst, mScene.onceOnlyPath(), "u5", "pay").join();
+        sendAsync(mFirstFront, mScene.onceOnlyPath(), "x1", "other").join();
+        HttpReply reply = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u5", "pay").join();
 
         checkRunOnceOrLost("u5", reply);
     }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
@@ -22,7 +22,7 @@
 class HostedEntryTest extends HostedFixture {
     @Test
     void aCallIsAnsweredByTheEndpointOfItsRoute() {
-        HttpReply reply = send(mFirst, "POST", mScene.callPath(), "c1", mScene.callBody());
+        HttpReply reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
 
         assertThat(reply.status(), is(200));
         assertThat(reply.text(), is(mScene.callBody()));
@@ -31,7 +31,7 @@
     @Test
     void aCallThatAnEndpointRefusedIsTriedAgain() {
         mScene.endpoint().refuseNext(1);
-        HttpReply reply = send(mFirst, "POST", mScene.callPath(), "c1", mScene.callBody());
+        HttpReply reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
 
         assertThat(reply.status(), is(200));
     }
@@ -46,62 +46,63 @@
         "POST, /step/1, 400"
     })
     void whatDoesNotExistOrCanNotBeReadIsSaidSo(String method, String path, int status) {
-        assertThat(send(mFirst, method, path, "x", "{}").status(), is(status));
+        assertThat(send(mFirstFront, method, path, "x", "{}").status(), is(status));
     }
 
     @Test
     void aStepIsAcceptedOnceAndReadAtEveryEntry() {
         assertThat(
-                send(mFirst, "POST", mScene.stepPath(), "st1", mScene.stepBody()).status(),
+                send(mFirstFront, "POST", mScene.stepPath(), "st1", mScene.stepBody()).status(),
                 is(202));
         assertThat(
-                send(mSecond, "POST", mScene.stepPath(), "st1", mScene.stepBody()).status(),
+                send(mSecondFront, "POST", mScene.stepPath(), "st1", mScene.stepBody()).status(),
                 is(202));
         String text = StandinEndpoint.text("sample-1", mScene.events()).replace("\n", "\\n");
-        String own = results(mFirst, "st1");
-        String other = results(mSecond, "st1");
+        String own = readResults(mFirstFront, "st1");
+        String other = readResults(mSecondFront, "st1");
 
         assertThat(own, containsString("\"text\":\"" + text + "\""));
         assertThat(own, containsString("\"score\":\"stamp-score-1\""));
         assertThat(own, containsString("\"versions\":[1]"));
         assertThat(other, is(own));
         assertThat(mScene.endpoint().seen().stream().filter("sample-1@0"::equals).count(), is(1L));
-        assertThat(send(mSecond, "GET", mScene.samplePath("st1"), "", "").body().length, is(3));
+        assertThat(
+                send(mSecondFront, "GET", mScene.samplePath("st1"), "", "").body().length, is(3));
     }
 
     @Test
     void aBrokenStreamGoesOnAfterItsLastEvent() {
         mScene.endpoint().breakNextAfter(2);
-        send(mFirst, "POST", mScene.stepPath(), "st2", mScene.stepBody());
+        send(mFirstFront, "POST", mScene.stepPath(), "st2", mScene.stepBody());
         String text = StandinEndpoint.text("sample-1", mScene.events()).replace("\n", "\\n");
 
-        assertThat(results(mFirst, "st2"), containsString(text));
+        assertThat(readResults(mFirstFront, "st2"), containsString(text));
         assertThat(mScene.endpoint().seen().stream().anyMatch(run -> run.endsWith("@2")), is(true));
     }
 
     @Test
     void anEndedStepStaysReadableAndEndsAgain() {
-        send(mFirst, "POST", mScene.stepPath(), "st3", mScene.stepBody());
-        results(mFirst, "st3");
+        send(mFirstFront, "POST", mScene.stepPath(), "st3", mScene.stepBody());
+        readResults(mFirstFront, "st3");
 
-        assertThat(send(mSecond, "DELETE", mScene.endPath("st3"), "", "").status(), is(200));
-        assertThat(send(mFirst, "DELETE", mScene.endPath("st3"), "", "").status(), is(200));
-        assertThat(results(mSecond, "st3"), containsString("sample-2"));
+        assertThat(send(mSecondFront, "DELETE", mScene.endPath("st3"), "", "").status(), is(200));
+        assertThat(send(mFirstFront, "DELETE", mScene.endPath("st3"), "", "").status(), is(200));
+        assertThat(readResults(mSecondFront, "st3"), containsString("sample-2"));
     }
 
     @Test
     void aLaterStepGoesOnWithTheTextsThatAnEndedOneLeft() {
         mScene.endpoint().breakAllAt(2);
-        send(mFirst, "POST", mScene.stepPath(), "st8", mScene.stepBody(1));
-        untilTrue(() -> mScene.endpoint().seen().containsAll(List.of("sample-1@2", "sample-2@2")));
-        send(mSecond, "DELETE", mScene.endPath("st8"), "", "");
-        String texts = StepKeys.partial(StepId.of("st8"));
-        untilTrue(() -> mScene.platform().store().get(texts) != null);
+        send(mFirstFront, "POST", mScene.stepPath(), "st8", mScene.stepBody(1));
+        awaitTrue(() -> mScene.endpoint().seen().containsAll(List.of("sample-1@2", "sample-2@2")));
+        send(mSecondFront, "DELETE", mScene.endPath("st8"), "", "");
+        String texts = StoreKeys.checkpointKey(StepId.of("st8"));
+        awaitTrue(() -> mScene.platform().store().get(texts) != null);
         mScene.endpoint().breakAllAt(0);
-        send(mSecond, "POST", mScene.stepPath(), "st9", mScene.stepBody(2));
+        send(mSecondFront, "POST", mScene.stepPath(), "st9", mScene.stepBody(2));
         String text = StandinEndpoint.text("sample-2", mScene.events()).replace("\n", "\\n");
 
-        assertThat(results(mFirst, "st9"), containsString("\"text\":\"" + text + "\""));
+        assertThat(readResults(mFirstFront, "st9"), containsString("\"text\":\"" + text + "\""));
         List<String> seen = mScene.endpoint().seen();
         assertThat(seen.stream().filter(run -> run.matches("sample.*@0")).count(), is(2L));
     }
@@ -110,69 +111,69 @@
     void withoutCarriedTextsALaterStepBeginsAnew() throws IOException {
         restartWithout(Mechanism.CARRIED_TEXTS);
         mScene.endpoint().breakAllAt(2);
-        send(mFirst, "POST", mScene.stepPath(), "st12", mScene.stepBody(1));
-        untilTrue(() -> mScene.endpoint().seen().containsAll(List.of("sample-1@2", "sample-2@2")));
-        send(mSecond, "DELETE", mScene.endPath("st12"), "", "");
+        send(mFirstFront, "POST", mScene.stepPath(), "st12", mScene.stepBody(1));
+        awaitTrue(() -> mScene.endpoint().seen().containsAll(List.of("sample-1@2", "sample-2@2")));
+        send(mSecondFront, "DELETE", mScene.endPath("st12"), "", "");
         mScene.endpoint().breakAllAt(0);
-        send(mSecond, "POST", mScene.stepPath(), "st13", mScene.stepBody(2));
+        send(mSecondFront, "POST", mScene.stepPath(), "st13", mScene.stepBody(2));
 
-        assertThat(results(mFirst, "st13"), containsString("sample-2"));
+        assertThat(readResults(mFirstFront, "st13"), containsString("sample-2"));
         List<String> seen = mScene.endpoint().seen();
         assertThat(seen.stream().filter(run -> run.matches("sample.*@0")).count(), is(4L));
-        String texts = StepKeys.partial(StepId.of("st12"));
+        String texts = StoreKeys.checkpointKey(StepId.of("st12"));
         assertThat(mScene.platform().store().get(texts), is(nullValue()));
     }
 
     @Test
     void unreadableTextsOfAnEndedStepAreNotUsed() {
         mScene.endpoint().breakAllAt(2);
-        send(mFirst, "POST", mScene.stepPath(), "st10", mScene.stepBody(1));
-        untilTrue(() -> mScene.endpoint().seen().contains("sample-1@2"));
-        send(mSecond, "DELETE", mScene.endPath("st10"), "", "");
-        String texts = StepKeys.partial(StepId.of("st10"));
-        untilTrue(() -> mScene.platform().store().get(texts) != null);
+        send(mFirstFront, "POST", mScene.stepPath(), "st10", mScene.stepBody(1));
+        awaitTrue(() -> mScene.endpoint().seen().contains("sample-1@2"));
+        send(mSecondFront, "DELETE", mScene.endPath("st10"), "", "");
+        String texts = StoreKeys.checkpointKey(StepId.of("st10"));
+        awaitTrue(() -> mScene.platform().store().get(texts) != null);
         String broken = "{\"texts\":[{\"id\":\"sample-1\",\"events\":[\"x\"],\"versions\":[]}]}";
         mScene.platform().put(texts, broken);
         mScene.endpoint().breakAllAt(0);
-        send(mSecond, "POST", mScene.stepPath(), "st11", mScene.stepBody(2));
+        send(mSecondFront, "POST", mScene.stepPath(), "st11", mScene.stepBody(2));
         String text = StandinEndpoint.text("sample-1", mScene.events()).replace("\n", "\\n");
 
-        assertThat(results(mFirst, "st11"), containsString("\"text\":\"" + text + "\""));
+        assertThat(readResults(mFirstFront, "st11"), containsString("\"text\":\"" + text + "\""));
     }
 
     @Test
     void aStepWhoseOwnerStopsIsFinishedByAnotherEntry() throws InterruptedException {
         mScene.endpoint().refuseNext(1_000_000);
-        send(mFirst, "POST", mScene.stepPath(), "st4", mScene.stepBody());
+        send(mFirstFront, "POST", mScene.stepPath(), "st4", mScene.stepBody());
         mFirstEntry.drain();
         mScene.endpoint().refuseNext(0);
 
-        assertThat(results(mSecond, "st4"), containsString("sample-2"));
+        assertThat(readResults(mSecondFront, "st4"), containsString("sample-2"));
     }
 
     @Test
     void aStepIsNotGivenUpByAnEntryThatDoesNotKnowItsRoute() throws IOException {
         mScene.endpoint().refuseNext(Integer.MAX_VALUE);
-        send(mFirst, "POST", mScene.stepPath(), "step-8", mScene.stepBody());
+        send(mFirstFront, "POST", mScene.stepPath(), "step-8", mScene.stepBody());
         mFirstEntry.close();
         mSecondEntry.close();
         mScene.withdrawConfiguration();
-        mFirst = text(freeAddress());
-        mFirstEntry = entry("edge-1", mFirst);
+        mFirstFront = text(freeAddress());
+        mFirstEntry = startEntry("edge-1", mFirstFront);
         // Ends at once if the entry takes the step from the process before it on its VM.
-        until(reply -> reply.text().contains("taken"), mMetrics, "GET", "/metrics", "");
+        sendUntil(reply -> reply.text().contains("taken"), mMetricsAddress, "GET", "/metrics", "");
         mScene.configure(1);
         mScene.endpoint().refuseNext(0);
 
-        String results = results(mFirst, "step-8");
+        String results = readResults(mFirstFront, "step-8");
         assertThat(results, containsString("\"state\":\"done\""));
         assertThat(results, not(containsString("\"state\":\"dead\"")));
     }
 
     @Test
     void metricsCountWhatTheEntryDid() {
-        send(mFirst, "POST", mScene.callPath(), "c1", mScene.callBody());
-        String text = send(mMetrics, "GET", "/metrics", "", "").text();
+        send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
+        String text = send(mMetricsAddress, "GET", "/metrics", "", "").text();
 
         assertThat(text, containsString("ebonyrun_entry_calls_total{end=\"answered\"}"));
         assertThat(text, containsString("ebonyrun_entry_call_seconds_bucket{le=\"0.005\"}"));
@@ -183,12 +184,12 @@
     void aNewConfigurationIsInForceAndAnOlderOneIsNot() {
         String without = mScene.config(3).replace("/call/", "/moved/");
         mScene.platform().put("op/config", without);
-        until(reply -> reply.status() == 404, mFirst, "POST", mScene.callPath(), "c");
+        sendUntil(reply -> reply.status() == 404, mFirstFront, "POST", mScene.callPath(), "c");
         mScene.platform().put("op/config", mScene.config(2));
         mScene.platform().put("op/config", without.replace("\"version\":3", "\"version\":4"));
-        until(HttpReply::isSuccess, mFirst, "POST", "/moved/1", "c");
+        sendUntil(HttpReply::isSuccess, mFirstFront, "POST", "/moved/1", "c");
 
-        assertThat(send(mFirst, "POST", mScene.callPath(), "c", "").status(), is(404));
+        assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "").status(), is(404));
     }
 
     @Test
@@ -196,14 +197,14 @@
         mScene.platform().refuseWith(call -> 503);
 
         assertThat(
-                send(mFirst, "POST", mScene.stepPath(), "st5", mScene.stepBody()).status(),
+                send(mFirstFront, "POST", mScene.stepPath(), "st5", mScene.stepBody()).status(),
                 is(503));
-        assertThat(send(mFirst, "POST", mScene.callPath(), "c", "x").status(), is(200));
+        assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "x").status(), is(200));
         mScene.platform().refuseWith(call -> 0);
         assertThat(
-                until(
+                sendUntil(
                                 reply -> reply.status() == 404,
-                                mSecond,
+                                mSecondFront,
                                 "GET",
                                 mScene.resultsPath("st5", 0),
                                 "")
@@ -215,19 +216,25 @@
     @Test
     void aStepWhoseAcceptanceWasNotAnsweredIsFoundAndRunByItsOwner() {
         // The first step brings the lease, so that the next call of the store is the acceptance.
-        send(mFirst, "POST", mScene.stepPath(), "st6", mScene.stepBody());
-        results(mFirst, "st6");
+        send(mFirstFront, "POST", mScene.stepPath(), "st6", mScene.stepBody());
+        readResults(mFirstFront, "st6");
         mScene.platform().loseCommits(1);
-        int status = send(mFirst, "POST", mScene.stepPath(), "st7", mScene.stepBody()).status();
+        int status =
+                send(mFirstFront, "POST", mScene.stepPath(), "st7", mScene.stepBody()).status();
 
         assertThat(status, is(202));
-        assertThat(results(mSecond, "st7"), containsString("sample-2"));
+        assertThat(readResults(mSecondFront, "st7"), containsString("sample-2"));
     }
 
     @Test
     void aNamedVersionIsLoaded() {
         mScene.platform().put("op/version/m", "{\"model\":\"m\",\"version\":3}");
-        until(reply -> mScene.endpoint().version() == 3, mFirst, "POST", mScene.callPath(), "c");
+        sendUntil(
+                reply -> mScene.endpoint().version() == 3,
+                mFirstFront,
+                "POST",
+                mScene.callPath(),
+                "c");
 
         assertThat(mScene.endpoint().version(), is(3));
     }
@@ -240,7 +247,7 @@
     })
     void aMalformedRequestIsRefusedAndNobodyElseIsTouched(String lines, String expected)
             throws IOException {
-        String[] parts = mFirst.split(":");
+        String[] parts = mFirstFront.split(":");
         try (Socket socket = new Socket(parts[0], Integer.parseInt(parts[1]))) {
             socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
             String request = lines.replace("|", "\r\n") + "\r\n\r\n";
@@ -252,6 +259,6 @@
                             || new String(answer, StandardCharsets.US_ASCII).equals(expected);
             assertThat(new String(answer, StandardCharsets.US_ASCII), refusedOrClosed, is(true));
         }
-        assertThat(send(mFirst, "POST", mScene.callPath(), "c", "x").status(), is(200));
+        assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "x").status(), is(200));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
@@ -30,7 +30,7 @@
  * <p>Waits end with an event or after a number of exchanges, never after a time.
  */
 abstract class HostedFixture {
-    static final int MOST_TRIES = 2_000;
+    static final int MAX_TRIES = 2_000;
     // Below the ports that systems use for outgoing connections.
     private static final int FIRST_PORT = 12_000;
     private static final int PORTS = 18_000;
@@ -42,9 +42,9 @@
 
     StandinScene mScene;
     HttpCaller mCaller;
-    String mFirst;
-    String mSecond;
-    String mMetrics;
+    String mFirstFront;
+    String mSecondFront;
+    String mMetricsAddress;
     HostedEntry mFirstEntry;
     HostedEntry mSecondEntry;
     private String mPolicy = "";
@@ -57,13 +57,13 @@
     }
 
     private void startEntries() throws IOException {
-        mFirst = text(freeAddress());
-        mSecond = text(freeAddress());
-        mMetrics = text(freeAddress());
-        mFirstEntry = entry("edge-1", mFirst);
-        mSecondEntry = entry("edge-2", mSecond);
-        untilReady(mFirst);
-        untilReady(mSecond);
+        mFirstFront = text(freeAddress());
+        mSecondFront = text(freeAddress());
+        mMetricsAddress = text(freeAddress());
+        mFirstEntry = startEntry("edge-1", mFirstFront);
+        mSecondEntry = startEntry("edge-2", mSecondFront);
+        awaitReady(mFirstFront);
+        awaitReady(mSecondFront);
     }
 
     @AfterEach
@@ -82,15 +82,15 @@
         startEntries();
     }
 
-    HostedEntry entry(String vm, String front) throws IOException {
+    HostedEntry startEntry(String vm, String front) throws IOException {
         String settings =
-                HostedSettingsTest.WHOLE
+                HostedSettingsTest.COMPLETE_SETTINGS
                         .replace("edge-1", vm)
                         .replace("10.1.0.35:8144", front)
                         .replace("10.1.0.35:8140", text(freeAddress()))
                         .replace(
                                 "10.1.0.35:9464",
-                                vm.equals("edge-1") ? mMetrics : text(freeAddress()))
+                                vm.equals("edge-1") ? mMetricsAddress : text(freeAddress()))
                         .replace("10.200.1.7:8142", text(mScene.store()));
         HostedSettings parsed = HostedSettings.parse("test", settings + mPolicy).settings();
         return HostedEntry.start(parsed, EventLog.start(OutputStream.nullOutputStream()));
@@ -123,30 +123,30 @@
     }
 
     /** Repeats a request until its answer is as wanted; each try takes the time of an exchange. */
-    HttpReply until(
+    HttpReply sendUntil(
             Predicate<HttpReply> wanted, String front, String method, String path, String id) {
         HttpReply reply = send(front, method, path, id, "");
-        for (int i = 0; i < MOST_TRIES && !wanted.test(reply); i++) {
+        for (int i = 0; i < MAX_TRIES && !wanted.test(reply); i++) {
             reply = send(front, method, path, id, "");
         }
         return reply;
     }
 
     /** Waits until something holds; each look takes the time of an exchange. */
-    void untilTrue(BooleanSupplier wanted) {
-        until(reply -> wanted.getAsBoolean(), mFirst, "POST", mScene.callPath(), "look");
+    void awaitTrue(BooleanSupplier wanted) {
+        sendUntil(reply -> wanted.getAsBoolean(), mFirstFront, "POST", mScene.callPath(), "look");
         assertThat(wanted.getAsBoolean(), is(true));
     }
 
-    void untilReady(String front) {
-        until(HttpReply::isSuccess, front, "POST", mScene.callPath(), "warm");
+    void awaitReady(String front) {
+        sendUntil(HttpReply::isSuccess, front, "POST", mScene.callPath(), "warm");
     }
 
     /** Reads all results of a step, page by page as a trainer does, and returns their text. */
-    String results(String front, String step) {
+    String readResults(String front, String step) {
         StringBuilder pages = new StringBuilder();
         int next = 0;
-        for (int i = 0; i < MOST_TRIES && next < mScene.samples(); i++) {
+        for (int i = 0; i < MAX_TRIES && next < mScene.samples(); i++) {
             HttpReply page = send(front, "GET", mScene.resultsPath(step, next), "", "");
             if (page.isSuccess()) {
                 JsonNode json = JsonTrees.read(page.body());
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSettingsTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSettingsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class HostedSettingsTest {
-    static final String WHOLE =
+    static final String COMPLETE_SETTINGS =
             String.join(
                     "\n",
                     "role: hosted-entry",
@@ -28,34 +28,36 @@
 
     @Test
     void readsWholeSettings() {
-        HostedSettings.Parsed parsed = HostedSettings.parse("f", WHOLE);
+        HostedSettings.Parsed parsed = HostedSettings.parse("f", COMPLETE_SETTINGS);
 
         assertThat(parsed.problems(), is(empty()));
         assertThat(parsed.settings().firstStart(), is(true));
-        assertThat(parsed.settings().limits().orderQuietMillis(), is(500L));
+        assertThat(parsed.settings().limits().orderQuietPeriodMillis(), is(500L));
         assertThat(parsed.settings().front().getPort(), is(8144));
-        assertThat(HostedMain.isHosted(WHOLE), is(true));
+        assertThat(HostedMain.isHosted(COMPLETE_SETTINGS), is(true));
         assertThat(HostedMain.isHosted("role: entry"), is(false));
     }
 
     @Test
     void aReloadChangesLimitsAndNothingElse() {
-        HostedSettings before = HostedSettings.parse("f", WHOLE).settings();
-        String changed = WHOLE.replace("grace: 8s", "grace: 9s").replace("edge-1", "edge-2");
+        HostedSettings before = HostedSettings.parse("f", COMPLETE_SETTINGS).settings();
+        String changed =
+                COMPLETE_SETTINGS.replace("grace: 8s", "grace: 9s").replace("edge-1", "edge-2");
         HostedSettings after = before.withLimitsOf(HostedSettings.parse("f", changed).settings());
 
-        assertThat(after.limits().graceMillis(), is(9_000L));
+        assertThat(after.limits().gracePeriodMillis(), is(9_000L));
         assertThat(after.vm(), is(before.vm()));
-        assertThat(after.isSameProcess(before), is(true));
-        assertThat(after.isSameProcess(HostedSettings.parse("f", changed).settings()), is(false));
+        assertThat(after.isSameExceptLimits(before), is(true));
+        assertThat(
+                after.isSameExceptLimits(HostedSettings.parse("f", changed).settings()), is(false));
     }
 
     @ParameterizedTest
     @EnumSource(Mechanism.class)
     void eachMechanismIsUsedUnlessItIsSwitchedOff(Mechanism mechanism) {
-        String off = WHOLE + "\npolicy: {" + mechanism.settingKey() + ": false}";
+        String off = COMPLETE_SETTINGS + "\npolicy: {" + mechanism.settingKey() + ": false}";
         HostedSettings.Parsed parsed = HostedSettings.parse("f", off);
-        HostedSettings all = HostedSettings.parse("f", WHOLE).settings();
+        HostedSettings all = HostedSettings.parse("f", COMPLETE_SETTINGS).settings();
         String on = off.replace("false", "true");
 
         assertThat(all.policy(), is(Policy.ALL));
@@ -64,7 +66,7 @@
         assertThat(parsed.settings().policy(), is(Policy.ALL.without(mechanism)));
         // A running process keeps its policy.
         assertThat(all.withLimitsOf(parsed.settings()).policy(), is(Policy.ALL));
-        assertThat(all.isSameProcess(parsed.settings()), is(false));
+        assertThat(all.isSameExceptLimits(parsed.settings()), is(false));
     }
 
     @ParameterizedTest
@@ -81,7 +83,7 @@
                 "first_start: true | policy: moves | policy: must be a mapping"
             })
     void namesTheFieldOfEachProblem(String part, String replacement, String field) {
-        String text = WHOLE.replace(part.strip(), replacement.strip());
+        String text = COMPLETE_SETTINGS.replace(part.strip(), replacement.strip());
         HostedSettings.Parsed parsed = HostedSettings.parse("f", text);
 
         assertThat(parsed.problems().toString(), containsString(field));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
@@ -78,14 +78,14 @@
             call();
             boolean ended = during(first, step) | during(second, step);
             heal();
-            String listed = ended ? listed(mFirst, step) : results(mFirst, step);
+            String listed = ended ? listed(mFirstFront, step) : readResults(mFirstFront, step);
             check(why, listed, ended ? 0 : 1);
-            String other = ended ? listed(mSecond, step) : results(mSecond, step);
+            String other = ended ? listed(mSecondFront, step) : readResults(mSecondFront, step);
             check(why, other, ended ? 0 : 1);
             // What was being stored when the step ended may still be listed.
             assertThat(why, other, ended ? startsWith(listed) : is(listed));
             // What one entry has shown, the other shows too.
-            assertThat(why, listed(mFirst, step), startsWith(other));
+            assertThat(why, listed(mFirstFront, step), startsWith(other));
             call();
         }
     }
@@ -107,8 +107,8 @@
     private void submit(String step, int number, boolean atFirst) {
         String body = mScene.stepBody(number);
         int status = 0;
-        for (int i = 0; i < MOST_TRIES && status != 202; i++) {
-            String front = atFirst == (i % 2 == 0) ? mFirst : mSecond;
+        for (int i = 0; i < MAX_TRIES && status != 202; i++) {
+            String front = atFirst == (i % 2 == 0) ? mFirstFront : mSecondFront;
             status = send(front, "POST", mScene.stepPath(), step, body).status();
         }
         assertThat(step, status, is(202));
@@ -117,7 +117,7 @@
     /** Sends a call, whose answer is its own body. */
     private void call() {
         String body = "call-" + ++mCalls;
-        String front = mCalls % 2 == 0 ? mFirst : mSecond;
+        String front = mCalls % 2 == 0 ? mFirstFront : mSecondFront;
         HttpReply reply = send(front, "POST", mScene.callPath(), body, body);
 
         assertThat(body, reply.status(), is(200));
@@ -132,12 +132,13 @@
                 call();
                 String other = "other-" + step;
                 int status =
-                        send(mFirst, "POST", mScene.stepPath(), other, mScene.stepBody(0)).status();
+                        send(mFirstFront, "POST", mScene.stepPath(), other, mScene.stepBody(0))
+                                .status();
                 assertThat(step, status, is(503));
             }
             case OWNER_CRASHES -> crashOwner(step);
             case STEP_ENDS_EARLY -> {
-                until(HttpReply::isSuccess, mSecond, "DELETE", mScene.endPath(step), "");
+                sendUntil(HttpReply::isSuccess, mSecondFront, "DELETE", mScene.endPath(step), "");
                 return true;
             }
             case VERSION_IS_NAMED -> {
@@ -159,7 +160,7 @@
 
     /** Stops the step's owner without notice, lets its lease lapse, and starts its VM again. */
     private void crashOwner(String step) throws IOException {
-        String key = StepKeys.live(StepId.of(step), StepKeys.OWNER);
+        String key = StoreKeys.liveKey(StepId.of(step), StoreKeys.OWNER);
         StandinStore.Entry owner = mScene.platform().store().get(key);
         if (owner == null) {
             // It has crashed before, or the step is over.
@@ -170,15 +171,15 @@
         if (name.startsWith("edge-1/")) {
             mFirstEntry.close();
             mScene.platform().remove(key);
-            mFirst = front;
-            mFirstEntry = entry("edge-1", front);
+            mFirstFront = front;
+            mFirstEntry = startEntry("edge-1", front);
         } else {
             mSecondEntry.close();
             mScene.platform().remove(key);
-            mSecond = front;
-            mSecondEntry = entry("edge-2", front);
+            mSecondFront = front;
+            mSecondEntry = startEntry("edge-2", front);
         }
-        untilReady(front);
+        awaitReady(front);
     }
 
     private void heal() {
@@ -198,7 +199,7 @@
         while (next != from) {
             from = Math.max(next, 0);
             String path = mScene.resultsPath(step, from);
-            HttpReply page = until(HttpReply::isSuccess, front, "GET", path, "");
+            HttpReply page = sendUntil(HttpReply::isSuccess, front, "GET", path, "");
             JsonNode json = JsonTrees.read(page.body());
             json.path("results").forEach(result -> results.append(result).append('\n'));
             next = json.path("next").asInt();
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/OrderLogTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/OrderLogTest.java
@@ -66,7 +66,8 @@
                     why -> mSaid.add("lost"));
 
     private void note(String order) {
-        mOrders.note(() -> mSaid.add("give " + order), () -> mSaid.add("refuse " + order));
+        mOrders.recordThenSend(
+                () -> mSaid.add("give " + order), () -> mSaid.add("refuse " + order));
     }
 
     private void answer(int call, CommitOutcome outcome) {
@@ -75,11 +76,11 @@
 
     @Test
     void anOrderIsGivenOnceItIsNotedUnderTheHoldersKey() {
-        mOrders.begin(FENCE);
+        mOrders.start(FENCE);
         note("a");
         assertThat(mSaid, is(empty()));
         Transaction.Expectation expected = mStore.mTransactions.get(0).expectations().get(0);
-        assertThat(expected, is(new Transaction.Expectation(StepKeys.PLANNER, FENCE)));
+        assertThat(expected, is(new Transaction.Expectation(StoreKeys.PLANNER, FENCE)));
 
         answer(0, CommitOutcome.COMMITTED);
         assertThat(mSaid, contains("give a"));
@@ -87,7 +88,7 @@
 
     @Test
     void ordersThatComeWhileTheStoreIsAskedShareTheNextNote() {
-        mOrders.begin(FENCE);
+        mOrders.start(FENCE);
         note("a");
         note("b");
         note("c");
@@ -100,7 +101,7 @@
 
     @Test
     void aHolderThatLostItsKeyGivesNoOrder() {
-        mOrders.begin(FENCE);
+        mOrders.start(FENCE);
         note("a");
         answer(0, CommitOutcome.CONFLICT);
 
@@ -109,7 +110,7 @@
 
     @Test
     void anOrderWhoseNoteHasNoAnswerOrCameLateIsRefused() {
-        mOrders.begin(FENCE);
+        mOrders.start(FENCE);
         note("a");
         Fault fault = Fault.unknown(FaultCode.PLATFORM_UNAVAILABLE, "test", "", "no answer");
         mStore.mCommits.get(0).complete(Result.err(fault));
@@ -122,7 +123,7 @@
 
     @Test
     void theNextHolderReadsTheAgesOfTheHolderBeforeIt() {
-        mOrders.begin(FENCE);
+        mOrders.start(FENCE);
         List<Optional<OrderAges>> read = new ArrayList<>();
         mOrders.read(0, read::add);
         note("a");
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ProcessNameTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ProcessNameTest.java
@@ -15,17 +15,17 @@
 
     @Test
     void aFreeKeyIsTakenOnlyWhileItIsAbsent() {
-        assertThat(SELF.takes(null, 0), is(OptionalLong.of(Transaction.ABSENT)));
+        assertThat(SELF.expectedRevision(null, 0), is(OptionalLong.of(Transaction.ABSENT)));
     }
 
     @Test
     void aKeyOfAnEarlierProcessOfTheVmIsReplacedAtItsRevision() {
-        assertThat(SELF.takes("edge-1/def", 42), is(OptionalLong.of(42)));
+        assertThat(SELF.expectedRevision("edge-1/def", 42), is(OptionalLong.of(42)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"edge-1/abc", "edge-11/def", "edge-2/abc", "", "edge-1"})
     void aKeyOfThisProcessOrOfAnotherVmIsNotTaken(String holder) {
-        assertThat(SELF.takes(holder, 42), is(OptionalLong.empty()));
+        assertThat(SELF.expectedRevision(holder, 42), is(OptionalLong.empty()));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultReaderTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultReaderTest.java
@@ -46,7 +46,7 @@
 
         void append(int position, List<SampleResult> results) {
             byte[] value = StepCodec.results(results);
-            mItems.add(new StoreItem(StepKeys.result(STEP, position), value, ++mRevision, 0));
+            mItems.add(new StoreItem(StoreKeys.resultKey(STEP, position), value, ++mRevision, 0));
         }
 
         void forgetHistory() {
@@ -142,12 +142,12 @@
                     }
 
                     @Override
-                    public boolean isCertain(StepId step) {
+                    public boolean isAuthoritative(StepId step) {
                         return mOwner == index && !mStoring;
                     }
 
                     @Override
-                    public List<SampleResult> listed(StepId step) {
+                    public List<SampleResult> listedResults(StepId step) {
                         return mOwner == index ? List.copyOf(mListed) : List.of();
                     }
                 };
@@ -173,10 +173,10 @@
     private void read(String why, int index, int from) {
         int shownBefore = mShown;
         mOpen++;
-        ResultReader.Reply reply =
-                new ResultReader.Reply() {
+        ResultReader.Callback reply =
+                new ResultReader.Callback() {
                     @Override
-                    public void results(List<SampleResult> results) {
+                    public void onResults(List<SampleResult> results) {
                         mOpen--;
                         List<SampleResult> stored = mStore.results();
                         int begin = Math.min(from, stored.size());
@@ -192,7 +192,7 @@
                     }
 
                     @Override
-                    public void unsure(Fault fault) {
+                    public void onFault(Fault fault) {
                         mOpen--;
                     }
                 };
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
@@ -59,19 +59,19 @@
     }
 
     /** The parts of an entry that a writer uses. */
-    private record Parts(Policy policy, EventLog log) implements EntryParts {
+    private record Parts(Policy policy, EventLog log) implements HostedContext {
         @Override
         public Executor executor() {
             return Runnable::run;
         }
 
         @Override
-        public void later(long nanos, Runnable task) {
+        public void schedule(long nanos, Runnable task) {
             throw new UnsupportedOperationException("later");
         }
 
         @Override
-        public boolean isStoreAway() {
+        public boolean isStoreUnavailable() {
             return false;
         }
 
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public boolean knowsRoutes() {
+        public boolean hasConfiguration() {
             throw new UnsupportedOperationException("knowsRoutes");
         }
 
@@ -137,17 +137,17 @@
     }
 
     /** Owns every step. */
-    private static final class AlwaysOwner implements ResultWriter.Owner {
+    private static final class AlwaysOwner implements ResultWriter.Ownership {
         @Override
         public boolean isCurrent(StepId id, OwnedStep owned) {
             return true;
         }
 
         @Override
-        public void onLast(StepId id) {}
+        public void onLastResultsStored(StepId id) {}
 
         @Override
-        public void onLost(StepId id, String why) {}
+        public void onOwnershipLost(StepId id, String why) {}
     }
 
     private final FakeStore mStore = new FakeStore();
@@ -193,7 +193,7 @@
     }
 
     private void tick(ResultWriter writer, long millis) {
-        writer.onTick(STEP, mOwned, mOwned.mCheckpointAt + Nanos.ofMillis(millis));
+        writer.onTick(STEP, mOwned, mOwned.mLastCheckpointAt + Nanos.ofMillis(millis));
     }
 
     @ParameterizedTest
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StepDirectoryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StepDirectoryTest.java
@@ -28,14 +28,14 @@
     private long mRevision;
 
     private void put(String part, byte[] value) {
-        String key = StepKeys.live(STEP, part);
+        String key = StoreKeys.liveKey(STEP, part);
         mRevision++;
         mDirectory.onChange(
                 new StoreChange(key, mRevision, new StoreItem(key, value, mRevision, 0)));
     }
 
     private void remove(String part) {
-        mDirectory.onChange(new StoreChange(StepKeys.live(STEP, part), ++mRevision, null));
+        mDirectory.onChange(new StoreChange(StoreKeys.liveKey(STEP, part), ++mRevision, null));
     }
 
     @ParameterizedTest
@@ -47,45 +47,45 @@
         "edge-11/abc, false"
     })
     void aStepConcernsItsOwnerAndWhoMayTakeIt(String owner, boolean concerns) {
-        put(StepKeys.MANIFEST, MANIFEST);
+        put(StoreKeys.MANIFEST, MANIFEST);
         if (!owner.isEmpty()) {
-            put(StepKeys.OWNER, owner.getBytes(StandardCharsets.UTF_8));
+            put(StoreKeys.OWNER, owner.getBytes(StandardCharsets.UTF_8));
         }
 
-        assertThat(mDirectory.concerning(SELF).contains(STEP), is(concerns));
+        assertThat(mDirectory.ownedOrClaimableBy(SELF).contains(STEP), is(concerns));
     }
 
     @ParameterizedTest
     @CsvSource({"end", "done"})
     void aStepThatIsOverConcernsNobodyAndIsForgottenInTime(String part) {
-        put(StepKeys.MANIFEST, MANIFEST);
+        put(StoreKeys.MANIFEST, MANIFEST);
         put(part, new byte[] {'1'});
 
-        assertThat(mDirectory.concerning(SELF), is(empty()));
-        assertThat(mDirectory.over(1_000), is(empty()));
-        assertThat(mDirectory.over(1_001), contains(STEP));
+        assertThat(mDirectory.ownedOrClaimableBy(SELF), is(empty()));
+        assertThat(mDirectory.finishedSteps(1_000), is(empty()));
+        assertThat(mDirectory.finishedSteps(1_001), contains(STEP));
     }
 
     @Test
     void aStepWithoutKeysIsNotKnown() {
-        put(StepKeys.MANIFEST, MANIFEST);
-        put(StepKeys.OWNER, new byte[] {'x'});
-        remove(StepKeys.OWNER);
-        assertThat(mDirectory.concerning(SELF), contains(STEP));
-        remove(StepKeys.MANIFEST);
+        put(StoreKeys.MANIFEST, MANIFEST);
+        put(StoreKeys.OWNER, new byte[] {'x'});
+        remove(StoreKeys.OWNER);
+        assertThat(mDirectory.ownedOrClaimableBy(SELF), contains(STEP));
+        remove(StoreKeys.MANIFEST);
 
         assertThat(mDirectory.get(STEP), is(nullValue()));
     }
 
     @Test
     void anUnreadableManifestNamesNoStepToTake() {
-        put(StepKeys.MANIFEST, "{".getBytes(StandardCharsets.UTF_8));
+        put(StoreKeys.MANIFEST, "{".getBytes(StandardCharsets.UTF_8));
 
-        assertThat(mDirectory.concerning(SELF), is(empty()));
+        assertThat(mDirectory.ownedOrClaimableBy(SELF), is(empty()));
     }
 
     private void know(String id, String model, int number) {
-        String key = StepKeys.live(StepId.of(id), StepKeys.MANIFEST);
+        String key = StoreKeys.liveKey(StepId.of(id), StoreKeys.MANIFEST);
         StepManifest manifest = new StepManifest("h", "/p/", model, number, 1, 2, 1_000);
         StoreItem item = new StoreItem(key, StepCodec.manifest(manifest), ++mRevision, 0);
         mDirectory.onChange(new StoreChange(key, mRevision, item));
@@ -99,12 +99,12 @@
         know("second", "m", 2);
         know("third", "m", 3);
         know("whole", "n", 1);
-        String done = StepKeys.live(StepId.of("whole"), StepKeys.DONE);
+        String done = StoreKeys.liveKey(StepId.of("whole"), StoreKeys.DONE);
         StoreItem item = new StoreItem(done, new byte[] {'1'}, ++mRevision, 0);
         mDirectory.onChange(new StoreChange(done, mRevision, item));
         StepManifest manifest = new StepManifest("h", "/p/", model, number, 1, 2, 2_000);
 
-        StepId before = mDirectory.unfinishedBefore(manifest);
+        StepId before = mDirectory.findUnfinishedPredecessor(manifest);
         assertThat(before == null ? "none" : before.toString(), is(expected));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreHealthTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreHealthTest.java
@@ -23,36 +23,36 @@
             new StoreHealth(
                     new StoreHealth.Listener() {
                         @Override
-                        public void probe(int round) {
+                        public void sendProbe(int round) {
                             mProbes++;
                         }
 
                         @Override
-                        public void onAway(String why) {
+                        public void onUnavailable(String why) {
                             mSaid.add("away " + why);
                         }
 
                         @Override
-                        public void onBack() {
+                        public void onAvailable() {
                             mSaid.add("back");
                         }
                     });
 
     @Test
     void aFaultOfAWatchMeansAwayUntilAProbeIsAnswered() {
-        mHealth.onFault("timeout", 0);
-        assertThat(mHealth.isAway(), is(true));
-        assertThat(mHealth.awayNanos(TICK), is(TICK));
+        mHealth.onWatchFault("timeout", 0);
+        assertThat(mHealth.isUnavailable(), is(true));
+        assertThat(mHealth.outageNanos(TICK), is(TICK));
         mHealth.onProbeEnd(0, "", TICK);
 
-        assertThat(mHealth.isAway(), is(false));
+        assertThat(mHealth.isUnavailable(), is(false));
         assertThat(mSaid, contains("away timeout", "back"));
     }
 
     @Test
     void aFaultOfAnotherCallAsksOnceAndDecidesNothing() {
-        mHealth.onDoubt(0);
-        mHealth.onDoubt(TICK);
+        mHealth.onCallFault(0);
+        mHealth.onCallFault(TICK);
         assertThat(mProbes, is(1));
         mHealth.onProbeEnd(0, "", 2 * TICK);
         for (int i = 0; i < 100; i++) {
@@ -65,7 +65,7 @@
 
     @Test
     void aProbeThatFailsMeansAwayToo() {
-        mHealth.onDoubt(0);
+        mHealth.onCallFault(0);
         mHealth.onProbeEnd(0, "timeout", TIMEOUT);
 
         assertThat(mSaid, contains("away timeout"));
@@ -74,15 +74,15 @@
 
     @Test
     void aProbeFromBeforeTheReturnSaysNothingOfTheTimeAfterIt() {
-        mHealth.onFault("timeout", 0);
-        mHealth.onTick(StoreHealth.PROBE_NANOS);
+        mHealth.onWatchFault("timeout", 0);
+        mHealth.onTick(StoreHealth.PROBE_INTERVAL_NANOS);
         mHealth.onProbeEnd(0, "", TIMEOUT / 2);
         mHealth.onProbeEnd(0, "timeout", TIMEOUT);
-        assertThat(mHealth.isAway(), is(false));
-        mHealth.onDoubt(TIMEOUT);
+        assertThat(mHealth.isUnavailable(), is(false));
+        mHealth.onCallFault(TIMEOUT);
         mHealth.onProbeEnd(1, "timeout", 2 * TIMEOUT);
 
-        assertThat(mHealth.isAway(), is(true));
+        assertThat(mHealth.isUnavailable(), is(true));
     }
 
     @ParameterizedTest
@@ -90,10 +90,10 @@
     void theReturnIsNoticedWithinOneProbe(int ticksAway) {
         long back = ticksAway * TICK;
         List<Long> sent = new ArrayList<>();
-        mHealth.onFault("timeout", 0);
+        mHealth.onWatchFault("timeout", 0);
         sent.add(0L);
         long now = 0;
-        while (mHealth.isAway()) {
+        while (mHealth.isUnavailable()) {
             now += TICK;
             while (!sent.isEmpty() && now - sent.get(0) >= TIMEOUT) {
                 sent.remove(0);
@@ -104,12 +104,12 @@
             if (mProbes > before) {
                 sent.add(now);
             }
-            assertThat(sent.size(), lessThanOrEqualTo(StoreHealth.MAX_OPEN));
+            assertThat(sent.size(), lessThanOrEqualTo(StoreHealth.MAX_OPEN_PROBES));
             if (mProbes > before && now >= back) {
                 mHealth.onProbeEnd(0, "", now);
             }
         }
 
-        assertThat(now - back, lessThanOrEqualTo(StoreHealth.PROBE_NANOS + TICK));
+        assertThat(now - back, lessThanOrEqualTo(StoreHealth.PROBE_INTERVAL_NANOS + TICK));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreWatchTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreWatchTest.java
@@ -48,7 +48,7 @@
             new StoreWatch(
                     mStore,
                     "p/",
-                    () -> new StoreWatch.Pace(WAIT_MILLIS, 0),
+                    () -> new StoreWatch.Timing(WAIT_MILLIS, 0),
                     Runnable::run,
                     new StoreWatch.Listener() {
                         @Override
@@ -62,7 +62,7 @@
                         }
 
                         @Override
-                        public void onAnswer() {
+                        public void onResponse() {
                             // Health of the store is not of interest here.
                         }
 
@@ -85,7 +85,7 @@
     }
 
     private void back() {
-        mWatch.onStoreBack();
+        mWatch.onStoreAvailable();
         mWatch.onTick(System.nanoTime() + WAIT_MILLIS * 1_000_000);
     }
 
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StorePacesTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/WatchTimingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class StorePacesTest {
+class WatchTimingsTest {
     private static EntryLimits limits(long config, long leaving, long contact) {
         return new EntryLimits(3_000, 8_000, 120_000, config, leaving, contact);
     }
@@ -20,32 +20,32 @@
     void changesAreHeardWithinTheLimits(long config, long leaving, long contact) {
         EntryLimits limits = limits(config, leaving, contact);
 
-        assertThat(gather(StorePaces.operator(limits, true)), lessThan(config / 2));
-        assertThat(gather(StorePaces.operator(limits, false)), is(0L));
-        assertThat(gather(StorePaces.endpoints(limits, true)), lessThan(leaving * 3 / 4));
-        assertThat(gather(StorePaces.endpoints(limits, false)), lessThan(leaving * 3 / 4));
-        assertThat(StorePaces.steps(limits, false).waitMillis(), lessThan(contact));
+        assertThat(gather(WatchTimings.forOperatorKeys(limits, true)), lessThan(config / 2));
+        assertThat(gather(WatchTimings.forOperatorKeys(limits, false)), is(0L));
+        assertThat(gather(WatchTimings.forEndpointKeys(limits, true)), lessThan(leaving * 3 / 4));
+        assertThat(gather(WatchTimings.forEndpointKeys(limits, false)), lessThan(leaving * 3 / 4));
+        assertThat(WatchTimings.forStepKeys(limits, false).waitMillis(), lessThan(contact));
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void longerLimitsCostFewerCalls(boolean idle) {
-        StoreWatch.Pace tight = StorePaces.endpoints(limits(2_000, 2_000, 3_000), idle);
-        StoreWatch.Pace loose = StorePaces.endpoints(limits(3_000, 3_000, 4_000), idle);
+        StoreWatch.Timing tight = WatchTimings.forEndpointKeys(limits(2_000, 2_000, 3_000), idle);
+        StoreWatch.Timing loose = WatchTimings.forEndpointKeys(limits(3_000, 3_000, 4_000), idle);
 
         assertThat(tight.waitMillis(), lessThan(loose.waitMillis()));
-        assertThat(tight.gatherNanos() <= loose.gatherNanos(), is(true));
+        assertThat(tight.batchNanos() <= loose.batchNanos(), is(true));
     }
 
     @Test
     void anEntryThatOwnsNothingGathersForLonger() {
         EntryLimits limits = limits(3_000, 3_000, 4_000);
 
-        long busy = gather(StorePaces.endpoints(limits, false));
-        assertThat(busy, lessThan(gather(StorePaces.endpoints(limits, true))));
+        long busy = gather(WatchTimings.forEndpointKeys(limits, false));
+        assertThat(busy, lessThan(gather(WatchTimings.forEndpointKeys(limits, true))));
     }
 
-    private static long gather(StoreWatch.Pace pace) {
-        return Nanos.toMillis(pace.gatherNanos());
+    private static long gather(StoreWatch.Timing pace) {
+        return Nanos.toMillis(pace.batchNanos());
     }
 }
