--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EntryBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EntryBench.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import org.ebonyrun.daemon.entry.EntryNode;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.ebonyrun.ports.vm.VmRecord;
 import org.ebonyrun.standin.loopback.LoopbackSettings;
 import org.ebonyrun.standin.platform.StandinPlatform;
@@ -75,7 +75,7 @@
     static Reading run(int agents, boolean load) throws IOException, InterruptedException {
         try (StandinPlatform platform = StandinPlatform.start(HOST, 0);
                 EmulatedAgents emulated = new EmulatedAgents(agents);
-                HttpCaller caller = HttpCaller.start()) {
+                AsyncHttpClient caller = AsyncHttpClient.start()) {
             for (int i = 0; i < agents; i++) {
                 platform.putVm(
                         new VmRecord(
@@ -102,7 +102,7 @@
     }
 
     private static Reading measure(
-            EntryNode entry, HttpCaller caller, URI address, int agents, boolean load)
+            EntryNode entry, AsyncHttpClient caller, URI address, int agents, boolean load)
             throws InterruptedException {
         Semaphore open = new Semaphore(OPEN_CALLS);
         long[] answered = new long[1];
@@ -122,7 +122,7 @@
     }
 
     private static void offer(
-            HttpCaller caller,
+            AsyncHttpClient caller,
             URI address,
             Semaphore open,
             long[] answered,
@@ -133,8 +133,8 @@
             TimeUnit.MILLISECONDS.sleep(millis);
             return;
         }
-        HttpCall call =
-                HttpCall.json(
+        HttpRequest call =
+                HttpRequest.json(
                         "POST",
                         URI.create(address + "/v1/calls/lookup"),
                         "{}".getBytes(StandardCharsets.UTF_8),
@@ -145,7 +145,7 @@
             caller.request(call, "bench.call")
                     .thenAccept(
                             result -> {
-                                if (result.fold(HttpReply::isSuccess, fault -> false)) {
+                                if (result.fold(HttpResponse::isSuccess, fault -> false)) {
                                     answered[0]++;
                                 }
                                 open.release();
@@ -167,10 +167,10 @@
         return sum;
     }
 
-    private static void apply(HttpCaller caller, URI address) {
+    private static void apply(AsyncHttpClient caller, URI address) {
         URI uri = URI.create(address + "/admin/config?author=bench&expect=0");
         byte[] text = CONFIG.getBytes(StandardCharsets.UTF_8);
-        caller.request(HttpCall.json("PUT", uri, text, TIMEOUT_MILLIS), "bench.config")
+        caller.request(HttpRequest.json("PUT", uri, text, TIMEOUT_MILLIS), "bench.config")
                 .join()
                 .orThrow();
     }
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/OverheadBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/OverheadBench.java
@@ -10,9 +10,9 @@
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.daemon.agent.AgentNode;
 import org.ebonyrun.daemon.entry.EntryNode;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.ebonyrun.ports.vm.VmRecord;
 import org.ebonyrun.standin.engine.StandinService;
 import org.ebonyrun.standin.loopback.LoopbackSettings;
@@ -35,7 +35,7 @@
     static void run() throws IOException, InterruptedException {
         try (StandinPlatform platform = StandinPlatform.start(HOST, 0);
                 StandinService service = StandinService.start("service", HOST, 0, 0);
-                HttpCaller caller = HttpCaller.start();
+                AsyncHttpClient caller = AsyncHttpClient.start();
                 AgentNode agent =
                         AgentNode.start(
                                 new LoopbackSettings(platform.address(), ENTRIES_PER_ENDPOINT)
@@ -56,14 +56,14 @@
             URI address = URI.create("http://" + HOST + ":" + entry.httpPort());
             URI config = URI.create(address + "/admin/config?author=bench&expect=0");
             byte[] text = EntryBench.CONFIG.getBytes(StandardCharsets.UTF_8);
-            caller.request(HttpCall.json("PUT", config, text, TIMEOUT_MILLIS), "config")
+            caller.request(HttpRequest.json("PUT", config, text, TIMEOUT_MILLIS), "config")
                     .join()
                     .orThrow();
             compare(caller, URI.create(address + "/v1/calls/lookup"), service.address());
         }
     }
 
-    private static void compare(HttpCaller caller, URI through, URI direct)
+    private static void compare(AsyncHttpClient caller, URI through, URI direct)
             throws InterruptedException {
         while (!call(caller, through)) {
             TimeUnit.MILLISECONDS.sleep(50);
@@ -97,10 +97,10 @@
                 micros.getValueAtPercentile(99));
     }
 
-    private static boolean call(HttpCaller caller, URI uri) {
+    private static boolean call(AsyncHttpClient caller, URI uri) {
         byte[] body = "{}".getBytes(StandardCharsets.UTF_8);
-        return caller.request(HttpCall.json("POST", uri, body, TIMEOUT_MILLIS), "bench.call")
+        return caller.request(HttpRequest.json("POST", uri, body, TIMEOUT_MILLIS), "bench.call")
                 .join()
-                .fold(HttpReply::isSuccess, fault -> false);
+                .fold(HttpResponse::isSuccess, fault -> false);
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ConfigCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ConfigCommand.java
@@ -17,7 +17,7 @@
 import org.ebonyrun.core.config.ConfigParser;
 import org.ebonyrun.core.settings.Problem;
 import org.ebonyrun.daemon.store.Json;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpResponse;
 
 /** Checks, applies and shows the operators' configuration. Stateless. */
 public final class ConfigCommand implements Command {
@@ -89,7 +89,7 @@
         try (Remote remote = Remote.open(options)) {
             Long expect = options.getLong("expect");
             if (expect == null) {
-                Result<HttpReply> current = remote.ask("GET", PATH, new byte[0]);
+                Result<HttpResponse> current = remote.ask("GET", PATH, new byte[0]);
                 if (!isSuccess(current)) {
                     return Remote.printRaw(current, System.out);
                 }
@@ -104,7 +104,7 @@
             Remote remote, Namespace options, long expect, byte[] text, String nonce) {
         String author = URLEncoder.encode(options.getString("author"), StandardCharsets.UTF_8);
         String path = PATH + "?author=" + author + "&expect=" + expect + "&nonce=" + nonce;
-        Result<HttpReply> answer = remote.ask("PUT", path, text);
+        Result<HttpResponse> answer = remote.ask("PUT", path, text);
         for (int i = 1; i < MAX_TRIES && isUnknown(answer); i++) {
             answer = remote.ask("PUT", path, text);
         }
@@ -118,7 +118,7 @@
 
     private static int get(Namespace options) throws IOException {
         try (Remote remote = Remote.open(options)) {
-            Result<HttpReply> answer = remote.ask("GET", PATH, new byte[0]);
+            Result<HttpResponse> answer = remote.ask("GET", PATH, new byte[0]);
             if (!isSuccess(answer) || options.getBoolean("json")) {
                 return Remote.printRaw(answer, System.out);
             }
@@ -135,7 +135,7 @@
 
     private static int history(Namespace options) throws IOException {
         try (Remote remote = Remote.open(options)) {
-            Result<HttpReply> answer = remote.ask("GET", PATH, new byte[0]);
+            Result<HttpResponse> answer = remote.ask("GET", PATH, new byte[0]);
             if (!isSuccess(answer)) {
                 return Remote.printRaw(answer, System.out);
             }
@@ -143,7 +143,7 @@
             long oldest = Math.max(1, newest - options.getInt("last") + 1);
             Table table = Table.of("VERSION", "AUTHOR", "BYTES");
             for (long version = newest; version >= oldest; version--) {
-                Result<HttpReply> entry = remote.ask("GET", PATH + "/" + version, new byte[0]);
+                Result<HttpResponse> entry = remote.ask("GET", PATH + "/" + version, new byte[0]);
                 if (options.getBoolean("json")) {
                     Remote.printRaw(entry, System.out);
                 } else if (isSuccess(entry)) {
@@ -159,11 +159,11 @@
         }
     }
 
-    private static boolean isSuccess(Result<HttpReply> result) {
-        return result.fold(HttpReply::isSuccess, fault -> false);
+    private static boolean isSuccess(Result<HttpResponse> result) {
+        return result.fold(HttpResponse::isSuccess, fault -> false);
     }
 
-    private static boolean isUnknown(Result<HttpReply> result) {
+    private static boolean isUnknown(Result<HttpResponse> result) {
         return result.fold(
                 reply -> Remote.status(reply) == ExitStatus.UNKNOWN,
                 fault -> fault.outcome() == Outcome.UNKNOWN);
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/Remote.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/Remote.java
@@ -11,19 +11,19 @@
 import org.ebonyrun.base.result.Outcome;
 import org.ebonyrun.base.result.Result;
 import org.ebonyrun.daemon.store.Json;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 
 /** One process that a command talks to. Not thread safe; used by one command. */
 final class Remote implements AutoCloseable {
     private static final String DEFAULT_ADDRESS = "http://127.0.0.1:8080";
     private static final long TIMEOUT_MILLIS = 40_000;
 
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final URI mAddress;
 
-    private Remote(HttpCaller caller, URI address) {
+    private Remote(AsyncHttpClient caller, URI address) {
         mCaller = caller;
         mAddress = address;
     }
@@ -38,18 +38,18 @@
 
     /** Opens the process that the options name. */
     static Remote open(Namespace options) throws IOException {
-        return new Remote(HttpCaller.start(), URI.create(options.getString("at")));
+        return new Remote(AsyncHttpClient.start(), URI.create(options.getString("at")));
     }
 
     /** Sends a request and waits for the whole answer. */
-    Result<HttpReply> ask(String method, String path, byte[] body) {
+    Result<HttpResponse> ask(String method, String path, byte[] body) {
         return ask(method, path, Map.of("Content-Type", "application/json"), body);
     }
 
     /** Sends a request with headers and waits for the whole answer. */
-    Result<HttpReply> ask(String method, String path, Map<String, String> headers, byte[] body) {
-        HttpCall call =
-                HttpCall.to(method, URI.create(mAddress + path), headers, body, TIMEOUT_MILLIS);
+    Result<HttpResponse> ask(String method, String path, Map<String, String> headers, byte[] body) {
+        HttpRequest call =
+                HttpRequest.to(method, URI.create(mAddress + path), headers, body, TIMEOUT_MILLIS);
         return mCaller.request(call, "client." + method).join();
     }
 
@@ -59,7 +59,7 @@
     }
 
     /** Prints an answer as it came, and returns the exit status for it. */
-    static int printRaw(Result<HttpReply> result, PrintStream out) {
+    static int printRaw(Result<HttpResponse> result, PrintStream out) {
         return result.fold(
                 reply -> {
                     (reply.isSuccess() ? out : System.err).println(reply.text());
@@ -81,7 +81,7 @@
     }
 
     /** Returns the exit status for an answer. */
-    static int status(HttpReply reply) {
+    static int status(HttpResponse reply) {
         if (reply.isSuccess()) {
             return ExitStatus.OK;
         }
@@ -90,7 +90,7 @@
                 : ExitStatus.FAILED;
     }
 
-    private static String outcome(HttpReply reply) {
+    private static String outcome(HttpResponse reply) {
         try {
             return Json.tree(reply.body()).path("error").path("outcome").asText();
         } catch (IllegalArgumentException e) {
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StatusCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StatusCommand.java
@@ -7,7 +7,7 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.ebonyrun.base.result.Result;
 import org.ebonyrun.daemon.store.Json;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpResponse;
 
 /** Shows classes against their targets, endpoints and steps as one entry sees them. Stateless. */
 public final class StatusCommand implements Command {
@@ -27,8 +27,8 @@
     @Override
     public int run(Namespace options) throws IOException {
         try (Remote remote = Remote.open(options)) {
-            Result<HttpReply> answer = remote.ask("GET", "/admin/status", new byte[0]);
-            boolean table = answer.fold(HttpReply::isSuccess, fault -> false);
+            Result<HttpResponse> answer = remote.ask("GET", "/admin/status", new byte[0]);
+            boolean table = answer.fold(HttpResponse::isSuccess, fault -> false);
             if (!table || options.getBoolean("json")) {
                 return Remote.printRaw(answer, System.out);
             }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoFleet.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoFleet.java
@@ -13,9 +13,9 @@
 import org.ebonyrun.daemon.DaemonSettings;
 import org.ebonyrun.daemon.agent.AgentNode;
 import org.ebonyrun.daemon.entry.EntryNode;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.ebonyrun.ports.vm.VmRecord;
 import org.ebonyrun.standin.engine.EngineSettings;
 import org.ebonyrun.standin.engine.StandinEngine;
@@ -71,7 +71,7 @@
                 scored_by: queue-app
             """;
 
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final StandinPlatform mPlatform;
     private final LoopbackSettings mSettings;
     private final List<StandinEngine> mEngines = new ArrayList<>();
@@ -81,7 +81,7 @@
     private final AtomicInteger mNextEntry = new AtomicInteger();
 
     private DemoFleet() throws IOException {
-        mCaller = HttpCaller.start();
+        mCaller = AsyncHttpClient.start();
         mPlatform = StandinPlatform.start(HOST, 0);
         mSettings = new LoopbackSettings(mPlatform.address(), ENTRIES_PER_ENDPOINT);
         mPlatform.publish(MODEL_SERVICE, FIRST_VERSION);
@@ -108,7 +108,7 @@
         return FIRST_VERSION;
     }
 
-    HttpCaller caller() {
+    AsyncHttpClient caller() {
         return mCaller;
     }
 
@@ -199,9 +199,10 @@
 
     private void applyConfig() {
         URI uri = URI.create(nextEntry() + "/admin/config?author=demo&expect=0");
-        HttpCall call =
-                HttpCall.json("PUT", uri, CONFIG.getBytes(StandardCharsets.UTF_8), TIMEOUT_MILLIS);
-        HttpReply reply = mCaller.request(call, "demo.config").join().orThrow();
+        HttpRequest call =
+                HttpRequest.json(
+                        "PUT", uri, CONFIG.getBytes(StandardCharsets.UTF_8), TIMEOUT_MILLIS);
+        HttpResponse reply = mCaller.request(call, "demo.config").join().orThrow();
         if (!reply.isSuccess()) {
             throw new IllegalStateException("config refused: " + reply.text());
         }
@@ -219,10 +220,10 @@
 
     private boolean isReady(EntryNode entry) {
         URI uri = URI.create(address(entry) + "/admin/dump");
-        Result<HttpReply> reply =
-                mCaller.request(HttpCall.of("GET", uri, TIMEOUT_MILLIS), "demo.dump").join();
+        Result<HttpResponse> reply =
+                mCaller.request(HttpRequest.of("GET", uri, TIMEOUT_MILLIS), "demo.dump").join();
         String usable = "\"usable\":true,\"free\"";
-        int seen = reply.fold(HttpReply::text, Object::toString).split(usable, -1).length - 1;
+        int seen = reply.fold(HttpResponse::text, Object::toString).split(usable, -1).length - 1;
         return entry.isReady() && seen == ENGINES + SERVICES;
     }
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoLoad.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoLoad.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.daemon.store.Json;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 
 /** Offers interactive calls and billing syncs at steady rates. Thread safe. */
 final class DemoLoad implements AutoCloseable {
@@ -65,7 +65,7 @@
         long begin = System.nanoTime();
         mOpen.incrementAndGet();
         mFleet.caller()
-                .request(HttpCall.json("POST", uri, body, TIMEOUT_MILLIS), "demo.lookup")
+                .request(HttpRequest.json("POST", uri, body, TIMEOUT_MILLIS), "demo.lookup")
                 .thenAccept(
                         result -> {
                             result.fold(
@@ -74,7 +74,7 @@
                         });
     }
 
-    private boolean onLookup(HttpReply reply, String prompt, int tokens, long begin) {
+    private boolean onLookup(HttpResponse reply, String prompt, int tokens, long begin) {
         if (!reply.isSuccess()) {
             countFault(reply);
             return false;
@@ -97,8 +97,8 @@
     private void sync() {
         String key = "sync-" + mNumbers.incrementAndGet();
         byte[] body = ("\"" + key + "\"").getBytes(StandardCharsets.UTF_8);
-        HttpCall call =
-                HttpCall.to(
+        HttpRequest call =
+                HttpRequest.to(
                         "POST",
                         URI.create(mFleet.nextEntry() + "/v1/calls/billing-sync"),
                         Map.of("Content-Type", "application/json", "Idempotency-Key", key),
@@ -116,7 +116,7 @@
                         });
     }
 
-    private boolean onSync(HttpReply reply, String key) {
+    private boolean onSync(HttpResponse reply, String key) {
         if (reply.isSuccess()) {
             return mLog.mSyncAnswered.add(key);
         }
@@ -124,7 +124,7 @@
         return outcome.equals("not-run") ? mLog.mSyncNotRun.add(key) : mLog.mSyncUnknown.add(key);
     }
 
-    private void countFault(HttpReply reply) {
+    private void countFault(HttpResponse reply) {
         String outcome = Json.tree(reply.body()).path("error").path("outcome").asText();
         if (outcome.equals("not-run")) {
             mLog.mRefused.incrementAndGet();
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminHandlers.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminHandlers.java
@@ -23,7 +23,8 @@
         handlers.put("/admin/drain", handler((request, out) -> drain(source, request, out)));
         handlers.put("/admin/log-level", handler(AdminHandlers::logLevel));
         handlers.put("/ready", handler((request, out) -> ready(source, out)));
-        handlers.put("/metrics", handler((request, out) -> out.whole(200, TEXT, source.metrics())));
+        handlers.put(
+                "/metrics", handler((request, out) -> out.sendWhole(200, TEXT, source.metrics())));
         return handlers;
     }
 
@@ -44,7 +45,7 @@
                     action.run(request, out);
                 } catch (RuntimeException e) {
                     Logger.error(e, "path={} failed", request.getRequestURI());
-                    out.whole(500, JSON, Json.write(Map.of("error", "internal")));
+                    out.sendWhole(500, JSON, Json.write(Map.of("error", "internal")));
                 }
             }
         };
@@ -55,40 +56,40 @@
                 .whenComplete(
                         (state, error) -> {
                             if (error == null) {
-                                out.whole(200, JSON, Json.write(state));
+                                out.sendWhole(200, JSON, Json.write(state));
                             } else {
-                                out.whole(503, JSON, Json.write(Map.of("error", "busy")));
+                                out.sendWhole(503, JSON, Json.write(Map.of("error", "busy")));
                             }
                         });
     }
 
     private static void drain(AdminSource source, Request request, Responder out) {
         if (!request.getMethod().getMethodString().equals("POST")) {
-            out.whole(405, JSON, Json.write(Map.of("error", "use POST")));
+            out.sendWhole(405, JSON, Json.write(Map.of("error", "use POST")));
             return;
         }
         source.drain();
-        out.whole(202, JSON, Json.write(Map.of("draining", true)));
+        out.sendWhole(202, JSON, Json.write(Map.of("draining", true)));
     }
 
     private static void logLevel(Request request, Responder out) {
         String level = request.getParameter("level");
         boolean post = request.getMethod().getMethodString().equals("POST");
         if (!post || level == null) {
-            out.whole(400, JSON, Json.write(Map.of("error", "POST with ?level=debug")));
+            out.sendWhole(400, JSON, Json.write(Map.of("error", "POST with ?level=debug")));
             return;
         }
         try {
             LevelWriter.setLevel(level);
-            out.whole(200, JSON, Json.write(Map.of("level", level)));
+            out.sendWhole(200, JSON, Json.write(Map.of("level", level)));
         } catch (IllegalArgumentException e) {
             String error = "no level '" + level + "': trace, debug, info, warn, error, off";
-            out.whole(400, JSON, Json.write(Map.of("error", error)));
+            out.sendWhole(400, JSON, Json.write(Map.of("error", error)));
         }
     }
 
     private static void ready(AdminSource source, Responder out) {
         boolean ready = source.isReady();
-        out.whole(ready ? 200 : 503, JSON, Json.write(Map.of("ready", ready)));
+        out.sendWhole(ready ? 200 : 503, JSON, Json.write(Map.of("ready", ready)));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
@@ -50,8 +50,8 @@
 import org.ebonyrun.daemon.link.PeerLink;
 import org.ebonyrun.daemon.link.WireTypes;
 import org.ebonyrun.daemon.store.FenceStore;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpListenerSettings;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpServerSettings;
 import org.ebonyrun.ports.http.HttpServers;
 import org.ebonyrun.ports.kv.HttpKeyValueStore;
 import org.glassfish.grizzly.http.server.HttpServer;
@@ -75,7 +75,7 @@
     private final DaemonSettings mSettings;
     private final HeartbeatPolicy mHeartbeats = new HeartbeatPolicy();
     private final NodeMetrics mMetrics = new NodeMetrics();
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final EndpointAdapter mAdapter;
     private final FenceStore mFences;
     private final LinkBook mBook;
@@ -95,7 +95,7 @@
 
     private AgentNode(DaemonSettings settings) throws IOException {
         mSettings = settings;
-        mCaller = HttpCaller.start();
+        mCaller = AsyncHttpClient.start();
         URI endpoint = requireNonNull(settings.endpoint());
         EndpointEvents events = new Events();
         mAdapter =
@@ -133,7 +133,7 @@
         mLinkPort = mTransport.listen(settings.linkListen().host(), settings.linkListen().port());
         mHttp =
                 HttpServers.start(
-                        new HttpListenerSettings(
+                        new HttpServerSettings(
                                 "admin",
                                 settings.httpListen().host(),
                                 settings.httpListen().port(),
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EngineAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EngineAdapter.java
@@ -12,13 +12,13 @@
 import org.ebonyrun.base.result.Result;
 import org.ebonyrun.core.attempt.Job;
 import org.ebonyrun.daemon.store.Json;
+import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.ebonyrun.ports.http.Correlation;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpHead;
-import org.ebonyrun.ports.http.HttpListener;
-import org.ebonyrun.ports.http.HttpReply;
-import org.ebonyrun.ports.http.SseParser;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
+import org.ebonyrun.ports.http.HttpResponseHead;
+import org.ebonyrun.ports.http.HttpResponseListener;
+import org.ebonyrun.ports.http.SseDataParser;
 
 /**
  * Talks to a model engine: streaming completions with server-sent events, and the engine's orders.
@@ -34,26 +34,26 @@
     private static final String EVENT_STREAM = "text/event-stream";
     private static final String REQUEST_ID = "X-Request-Id";
 
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final URI mBase;
     private final EndpointEvents mEvents;
     private final Exchanges mExchanges = new Exchanges();
 
-    private EngineAdapter(HttpCaller caller, URI base, EndpointEvents events) {
+    private EngineAdapter(AsyncHttpClient caller, URI base, EndpointEvents events) {
         mCaller = caller;
         mBase = base;
         mEvents = events;
     }
 
     /** Creates an adapter to the engine at {@code base}. */
-    public static EngineAdapter create(HttpCaller caller, URI base, EndpointEvents events) {
+    public static EngineAdapter create(AsyncHttpClient caller, URI base, EndpointEvents events) {
         return new EngineAdapter(caller, base, events);
     }
 
     @Override
     public void start(AttemptId id, Job job) {
-        HttpCall call =
-                HttpCall.to(
+        HttpRequest call =
+                HttpRequest.to(
                                 "POST",
                                 URI.create(mBase + job.path()),
                                 Map.of(
@@ -65,7 +65,7 @@
                                         id.toString()),
                                 job.body(),
                                 Math.max(1, job.timeoutMillis()))
-                        .correlated(Correlation.byHeader(REQUEST_ID, id.toString()));
+                        .withCorrelation(Correlation.byHeader(REQUEST_ID, id.toString()));
         mExchanges.add(id, mCaller.send(call, new Stream(id)));
     }
 
@@ -76,9 +76,9 @@
 
     @Override
     public void readState() {
-        HttpCall call =
-                HttpCall.of("GET", URI.create(mBase + "/state"), STATE_TIMEOUT_MILLIS)
-                        .correlated(Correlation.byKind("state"));
+        HttpRequest call =
+                HttpRequest.of("GET", URI.create(mBase + "/state"), STATE_TIMEOUT_MILLIS)
+                        .withCorrelation(Correlation.byKind("state"));
         mCaller.request(call, "engine.state").thenAccept(this::onState);
     }
 
@@ -87,9 +87,9 @@
         ObjectNode order = Json.mapper().createObjectNode();
         order.put("version", version).put("fence", fence).put("source", source);
         URI uri = URI.create(mBase + "/orders/load");
-        HttpCall call =
-                HttpCall.json("POST", uri, Json.write(order), LOAD_TIMEOUT_MILLIS)
-                        .correlated(Correlation.byConnection());
+        HttpRequest call =
+                HttpRequest.json("POST", uri, Json.write(order), LOAD_TIMEOUT_MILLIS)
+                        .withCorrelation(Correlation.byConnection());
         mCaller.request(call, "engine.load")
                 .thenAccept(
                         result ->
@@ -97,7 +97,7 @@
                                         version, result.fold(this::loadFault, Optional::of)));
     }
 
-    private void onState(Result<HttpReply> result) {
+    private void onState(Result<HttpResponse> result) {
         result.fold(
                 reply -> {
                     readState(reply);
@@ -109,7 +109,7 @@
                 });
     }
 
-    private void readState(HttpReply reply) {
+    private void readState(HttpResponse reply) {
         try {
             JsonNode state = Json.tree(reply.body());
             mEvents.onState(state.path("version").asLong(), state.path("slots").asInt(1));
@@ -118,7 +118,7 @@
         }
     }
 
-    private Optional<Fault> loadFault(HttpReply reply) {
+    private Optional<Fault> loadFault(HttpResponse reply) {
         if (reply.isSuccess()) {
             return Optional.empty();
         }
@@ -128,9 +128,9 @@
     }
 
     /** Reads one completion stream. Used by one I/O thread at a time. */
-    private final class Stream implements HttpListener {
+    private final class Stream implements HttpResponseListener {
         private final AttemptId mId;
-        private final SseParser mParser = SseParser.create(this::onEvent);
+        private final SseDataParser mParser = SseDataParser.create(this::onEvent);
         private int mStatus;
         private boolean mEndSeen;
         private boolean mBroken;
@@ -140,7 +140,7 @@
         }
 
         @Override
-        public void onHead(HttpHead head) {
+        public void onHead(HttpResponseHead head) {
             mStatus = head.status();
         }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/PlainAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/PlainAdapter.java
@@ -7,11 +7,11 @@
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.base.result.FaultCode;
 import org.ebonyrun.core.attempt.Job;
+import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.ebonyrun.ports.http.Correlation;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpHead;
-import org.ebonyrun.ports.http.HttpListener;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponseHead;
+import org.ebonyrun.ports.http.HttpResponseListener;
 
 /**
  * Talks to a plain HTTP service, which has no weights.
@@ -24,26 +24,26 @@
     private static final int SLOTS = 64;
     private static final long STATE_TIMEOUT_MILLIS = 1_000;
 
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final URI mBase;
     private final EndpointEvents mEvents;
     private final Exchanges mExchanges = new Exchanges();
 
-    private PlainAdapter(HttpCaller caller, URI base, EndpointEvents events) {
+    private PlainAdapter(AsyncHttpClient caller, URI base, EndpointEvents events) {
         mCaller = caller;
         mBase = base;
         mEvents = events;
     }
 
     /** Creates an adapter to the service at {@code base}. */
-    public static PlainAdapter create(HttpCaller caller, URI base, EndpointEvents events) {
+    public static PlainAdapter create(AsyncHttpClient caller, URI base, EndpointEvents events) {
         return new PlainAdapter(caller, base, events);
     }
 
     @Override
     public void start(AttemptId id, Job job) {
-        HttpCall call =
-                HttpCall.to(
+        HttpRequest call =
+                HttpRequest.to(
                                 "POST",
                                 URI.create(mBase + job.path()),
                                 Map.of(
@@ -53,7 +53,7 @@
                                         id.toString()),
                                 job.body(),
                                 Math.max(1, job.timeoutMillis()))
-                        .correlated(Correlation.byHeader(REQUEST_ID, id.toString()));
+                        .withCorrelation(Correlation.byHeader(REQUEST_ID, id.toString()));
         mExchanges.add(id, mCaller.send(call, new Answer(id)));
     }
 
@@ -64,9 +64,9 @@
 
     @Override
     public void readState() {
-        HttpCall call =
-                HttpCall.of("GET", URI.create(mBase + "/"), STATE_TIMEOUT_MILLIS)
-                        .correlated(Correlation.byKind("state"));
+        HttpRequest call =
+                HttpRequest.of("GET", URI.create(mBase + "/"), STATE_TIMEOUT_MILLIS)
+                        .withCorrelation(Correlation.byKind("state"));
         mCaller.request(call, "service.state")
                 .thenAccept(
                         result -> {
@@ -90,7 +90,7 @@
     }
 
     /** Reads one answer. Used by one I/O thread at a time. */
-    private final class Answer implements HttpListener {
+    private final class Answer implements HttpResponseListener {
         private final AttemptId mId;
         private int mStatus;
 
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public void onHead(HttpHead head) {
+        public void onHead(HttpResponseHead head) {
             mStatus = head.status();
         }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
@@ -250,7 +250,7 @@
         @Override
         public void onPiece(byte[] data) {
             mOut.begin(200, EVENT_STREAM);
-            mOut.part(Completions.piece(data));
+            mOut.sendPart(Completions.piece(data));
         }
 
         @Override
@@ -262,13 +262,13 @@
             boolean success = answer.status() / 100 == 2;
             if (work.streaming() && success) {
                 mOut.begin(200, EVENT_STREAM);
-                mOut.part(Completions.end(answer));
+                mOut.sendPart(Completions.end(answer));
                 mOut.end();
                 return;
             }
-            mOut.header("Ebonyrun-Endpoint", answer.vm().value());
+            mOut.setHeader("Ebonyrun-Endpoint", answer.vm().value());
             byte[] body = mEngine && success ? Completions.whole(answer) : answer.body();
-            mOut.whole(answer.status(), mEngine ? Faults.JSON : answer.contentType(), body);
+            mOut.sendWhole(answer.status(), mEngine ? Faults.JSON : answer.contentType(), body);
         }
 
         @Override
@@ -279,7 +279,7 @@
             }
             if (mOut.isStarted()) {
                 String json = new String(Faults.json(fault), StandardCharsets.UTF_8);
-                mOut.part("event: error\ndata: " + json + "\n\n");
+                mOut.sendPart("event: error\ndata: " + json + "\n\n");
                 mOut.end();
                 return;
             }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
@@ -120,7 +120,7 @@
         body.put("version", config.version());
         body.put("author", config.author());
         body.put("text", config.text());
-        out.whole(200, Faults.JSON, Json.write(body));
+        out.sendWhole(200, Faults.JSON, Json.write(body));
         return true;
     }
 
@@ -142,7 +142,7 @@
                     .put("path", problem.path())
                     .put("message", problem.message());
         }
-        out.whole(422, Faults.JSON, Json.write(body));
+        out.sendWhole(422, Faults.JSON, Json.write(body));
         return false;
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
@@ -37,10 +37,10 @@
 import org.ebonyrun.daemon.store.ConfigStore;
 import org.ebonyrun.daemon.store.LeaseClient;
 import org.ebonyrun.daemon.store.ManifestStore;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.kv.GuardedStore;
+import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.ebonyrun.ports.kv.HttpKeyValueStore;
 import org.ebonyrun.ports.kv.KeyValueStore;
+import org.ebonyrun.ports.kv.ResilientKeyValueStore;
 import org.ebonyrun.ports.vm.HttpVmDirectory;
 import org.ebonyrun.ports.vm.VmDirectory;
 import org.ebonyrun.ports.weight.HttpWeightStore;
@@ -61,7 +61,7 @@
 
     final DaemonSettings mSettings;
     final NodeMetrics mMetrics = new NodeMetrics();
-    final HttpCaller mCaller;
+    final AsyncHttpClient mCaller;
     final VmDirectory mDirectory;
     final WeightStore mWeights;
     final ManifestStore mManifests;
@@ -94,9 +94,9 @@
 
     EntryContext(DaemonSettings settings) throws IOException {
         mSettings = settings;
-        mCaller = HttpCaller.start();
+        mCaller = AsyncHttpClient.start();
         KeyValueStore store =
-                GuardedStore.create(
+                ResilientKeyValueStore.create(
                         new CountedStore(
                                 HttpKeyValueStore.create(mCaller, settings.platform().keyValue()),
                                 mMetrics),
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
@@ -13,7 +13,7 @@
 import org.ebonyrun.daemon.admin.AdminHandlers;
 import org.ebonyrun.daemon.admin.AdminSource;
 import org.ebonyrun.daemon.store.Json;
-import org.ebonyrun.ports.http.HttpListenerSettings;
+import org.ebonyrun.ports.http.HttpServerSettings;
 import org.ebonyrun.ports.http.HttpServers;
 import org.ebonyrun.ports.http.Responder;
 import org.glassfish.grizzly.http.server.HttpHandler;
@@ -39,7 +39,7 @@
         handlers.put(ConfigApi.PREFIX + "/*", AdminHandlers.handler(config::handle));
         mHttp =
                 HttpServers.start(
-                        new HttpListenerSettings(
+                        new HttpServerSettings(
                                 "entry",
                                 settings.httpListen().host(),
                                 settings.httpListen().port(),
@@ -107,9 +107,10 @@
                 .whenComplete(
                         (state, error) -> {
                             if (error == null) {
-                                out.whole(200, Faults.JSON, Json.write(state));
+                                out.sendWhole(200, Faults.JSON, Json.write(state));
                             } else {
-                                out.whole(503, Faults.JSON, Json.write(Map.of("error", "busy")));
+                                out.sendWhole(
+                                        503, Faults.JSON, Json.write(Map.of("error", "busy")));
                             }
                         });
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/Faults.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/Faults.java
@@ -31,8 +31,8 @@
     static void send(Responder out, Fault fault) {
         if (fault.retryAfterMillis() > 0) {
             long seconds = Math.max(1, fault.retryAfterMillis() / MILLIS_PER_SECOND);
-            out.header("Retry-After", Long.toString(seconds));
+            out.setHeader("Retry-After", Long.toString(seconds));
         }
-        out.whole(fault.code().httpStatus(), JSON, json(fault));
+        out.sendWhole(fault.code().httpStatus(), JSON, json(fault));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerEffects.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerEffects.java
@@ -37,7 +37,7 @@
     @Override
     public void askLatest(ServiceName service) {
         mContext.mWeights
-                .latest(service)
+                .latestVersion(service)
                 .thenAccept(
                         result ->
                                 result.map(
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepApi.java
@@ -154,7 +154,7 @@
         } else {
             body.put("accepted", true);
         }
-        out.whole(200, Faults.JSON, Json.write(body));
+        out.sendWhole(200, Faults.JSON, Json.write(body));
     }
 
     private static Fault notRun(FaultCode code, String detail) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ArchiveRun.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ArchiveRun.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import org.ebonyrun.base.log.EventLog;
 import org.ebonyrun.platform.standin.StandinScene;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 
 /**
  * Serves a few requests on loopback against stand-ins and exits, so that the virtual machine can
@@ -51,7 +51,7 @@
         HostedSettings.Parsed parsed = HostedSettings.parse("archive", settings);
         EventLog log = EventLog.start(OutputStream.nullOutputStream());
         HostedEntry.start(parsed.settings(), log);
-        HttpCaller caller = HttpCaller.start();
+        AsyncHttpClient caller = AsyncHttpClient.start();
         String step = Long.toHexString(random.nextLong());
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MILLIS);
         boolean listed = false;
@@ -59,26 +59,27 @@
             post(caller, front, scene.callPath(), "call", scene.callBody());
             post(caller, front, scene.stepPath(), step, scene.stepBody());
             URI results = URI.create("http://" + front + scene.resultsPath(step, 0));
-            HttpReply reply = get(caller, results);
+            HttpResponse reply = get(caller, results);
             listed = reply.text().contains("done");
             new CountDownLatch(1).await(PAUSE_MILLIS, TimeUnit.MILLISECONDS);
         }
         System.exit(listed ? 0 : 1);
     }
 
-    private static void post(HttpCaller caller, String front, String path, String id, String body) {
+    private static void post(
+            AsyncHttpClient caller, String front, String path, String id, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         Map<String, String> headers = StandinScene.headers(id);
-        HttpCall call =
-                HttpCall.to("POST", URI.create("http://" + front + path), headers, bytes, 1_000);
+        HttpRequest call =
+                HttpRequest.to("POST", URI.create("http://" + front + path), headers, bytes, 1_000);
         caller.request(call, "archive").join();
     }
 
-    private static HttpReply get(HttpCaller caller, URI uri) {
-        HttpCall call = HttpCall.to("GET", uri, StandinScene.headers(""), new byte[0], 1_000);
+    private static HttpResponse get(AsyncHttpClient caller, URI uri) {
+        HttpRequest call = HttpRequest.to("GET", uri, StandinScene.headers(""), new byte[0], 1_000);
         return caller.request(call, "archive")
                 .join()
-                .fold(r -> r, f -> new HttpReply(0, new byte[0]));
+                .fold(r -> r, f -> new HttpResponse(0, new byte[0]));
     }
 
     private static String text(InetSocketAddress address) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
@@ -16,10 +16,10 @@
 import org.ebonyrun.core.step.ScoreOutcome;
 import org.ebonyrun.platform.EndpointProtocol;
 import org.ebonyrun.platform.FrontProtocol;
+import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.ebonyrun.ports.http.FrontExchange;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpHead;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponseHead;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -50,7 +50,7 @@
     }
 
     private final HostedContext mParts;
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final CallMachine mMachine;
     private final Map<Long, Client> mClients = new HashMap<>();
     private final Map<FrontExchange, Long> mCallOf = new HashMap<>();
@@ -60,7 +60,7 @@
     private final Map<Long, Integer> mErrorCounts = new HashMap<>();
     private long mCount;
 
-    CallController(HostedContext parts, HttpCaller caller, Fleet fleet, FailureDomain domain) {
+    CallController(HostedContext parts, AsyncHttpClient caller, Fleet fleet, FailureDomain domain) {
         mParts = parts;
         mCaller = caller;
         mMachine = CallMachine.create(fleet, domain, parts.policy(), this);
@@ -112,7 +112,7 @@
         CallExchange exchange = new CallExchange(attempt, streaming, mParts.executor(), this);
         mAttempts.put(attempt, exchange);
         mSpecs.put(attempt, call);
-        HttpCall request = request(client, endpoint, leftMillis);
+        HttpRequest request = request(client, endpoint, leftMillis);
         mParts.log()
                 .write(
                         LogLine.of("call.sent")
@@ -124,7 +124,7 @@
         exchange.setExchange(mCaller.send(request, exchange));
     }
 
-    private static HttpCall request(Client client, Endpoint endpoint, long leftMillis) {
+    private static HttpRequest request(Client client, Endpoint endpoint, long leftMillis) {
         FrontExchange caller = client.caller();
         ScoreCall score = client.score();
         if (caller != null) {
@@ -164,7 +164,7 @@
         CallExchange exchange = mAttempts.remove(attempt);
         int errors = mErrorCounts.getOrDefault(call.id(), 0);
         Client client = finish(call);
-        HttpHead head = exchange == null ? null : exchange.head();
+        HttpResponseHead head = exchange == null ? null : exchange.head();
         if (client == null || head == null) {
             return;
         }
@@ -178,7 +178,7 @@
         }
     }
 
-    private static void endScore(Client client, HttpHead head, int errors) {
+    private static void endScore(Client client, HttpResponseHead head, int errors) {
         ScoreListener end = client.onScore();
         if (end == null) {
             return;
@@ -265,7 +265,7 @@
     }
 
     @Override
-    public void onHead(CallExchange exchange, HttpHead head) {
+    public void onHead(CallExchange exchange, HttpResponseHead head) {
         CallSpec call = mSpecs.get(exchange.attempt());
         Client client = call == null ? null : mClients.get(call.id());
         if (client == null || client.caller() == null) {
@@ -290,7 +290,7 @@
         if (call == null) {
             return;
         }
-        HttpHead head = exchange.head();
+        HttpResponseHead head = exchange.head();
         mParts.metrics().count(EntryMetrics.ATTEMPTS, end.name());
         LogLine line =
                 LogLine.of("call.attempt")
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Executor;
 import org.ebonyrun.core.call.AttemptOutcome;
 import org.ebonyrun.platform.EndpointProtocol;
-import org.ebonyrun.ports.http.HttpHead;
+import org.ebonyrun.ports.http.HttpResponseHead;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -17,7 +17,7 @@
     /** Hears of the attempt on the entry's duty. */
     interface Listener {
         /** The head of a stream arrived. */
-        void onHead(CallExchange exchange, HttpHead head);
+        void onHead(CallExchange exchange, HttpResponseHead head);
 
         /** A piece of a stream arrived. */
         void onChunk(CallExchange exchange, byte[] piece);
@@ -44,7 +44,7 @@
         return mAttempt;
     }
 
-    @Nullable HttpHead head() {
+    @Nullable HttpResponseHead head() {
         return mHead;
     }
 
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void onHead(HttpHead head) {
+    public void onHead(HttpResponseHead head) {
         mHead = head;
         boolean signed = EndpointProtocol.attemptEnd(head) == AttemptOutcome.ANSWERED;
         mPassing = mStreaming && head.isSuccess() && signed;
@@ -77,7 +77,7 @@
 
     @Override
     public void onEnd() {
-        HttpHead head = mHead;
+        HttpResponseHead head = mHead;
         AttemptOutcome end = head == null ? AttemptOutcome.LOST : EndpointProtocol.attemptEnd(head);
         runOnEventLoop(() -> mSink.onEnd(this, end));
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EndpointExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EndpointExchange.java
@@ -4,8 +4,8 @@
 import org.ebonyrun.base.log.LogLine;
 import org.ebonyrun.ports.http.ConnectionUse;
 import org.ebonyrun.ports.http.HttpExchange;
-import org.ebonyrun.ports.http.HttpHead;
-import org.ebonyrun.ports.http.HttpListener;
+import org.ebonyrun.ports.http.HttpResponseHead;
+import org.ebonyrun.ports.http.HttpResponseListener;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -14,12 +14,12 @@
  * <p>The I/O thread takes the answer in and tells the entry's duty of it; the duty sets and cancels
  * the exchange.
  */
-abstract class EndpointExchange implements HttpListener {
+abstract class EndpointExchange implements HttpResponseListener {
     private final Executor mExecutor;
     private @Nullable HttpExchange mExchange;
 
     /** The head of the answer; null until it has arrived. */
-    @Nullable HttpHead mHead;
+    @Nullable HttpResponseHead mHead;
 
     /**
      * Prepares a request.
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLease.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLease.java
@@ -97,7 +97,7 @@
     /** Ends the lease, which removes all keys under it. */
     void release() {
         if (mId != 0) {
-            mStore.end(mId);
+            mStore.revoke(mId);
             mId = 0;
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
@@ -23,7 +23,7 @@
 import org.ebonyrun.ports.http.FrontExchange;
 import org.ebonyrun.ports.http.FrontListener;
 import org.ebonyrun.ports.http.HttpHeaders;
-import org.ebonyrun.ports.store.Commit;
+import org.ebonyrun.ports.store.CommitResult;
 
 /**
  * Answers callers: finds the route of each request and passes it to the part that serves it.
@@ -221,7 +221,7 @@
                                         mParts.executor()));
     }
 
-    private void onEnded(FrontExchange exchange, StepId step, Result<Commit> result) {
+    private void onEnded(FrontExchange exchange, StepId step, Result<CommitResult> result) {
         result.fold(
                 commit -> {
                     mParts.log().write(LogLine.of("step.end").with("step", step));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedContext.java
@@ -7,7 +7,7 @@
 import org.ebonyrun.core.policy.Policy;
 import org.ebonyrun.core.route.Route;
 import org.ebonyrun.core.step.StepId;
-import org.ebonyrun.ports.store.Commit;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.StoreItem;
 
 /**
@@ -45,7 +45,7 @@
     ProcessName self();
 
     /** Returns the revision of a step's owner key if this process wrote it; zero if not. */
-    default long ownRevision(Commit commit, StepId id) {
+    default long ownRevision(CommitResult commit, StepId id) {
         String key = StoreKeys.liveKey(id, StoreKeys.OWNER);
         for (StoreItem item : commit.current()) {
             if (item.key().equals(key) && item.text().equals(self().format())) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -35,10 +35,10 @@
 import org.ebonyrun.platform.OperatorDecoder;
 import org.ebonyrun.platform.OperatorEvent;
 import org.ebonyrun.platform.StoreClient;
-import org.ebonyrun.ports.http.DroppedAnswer;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.DroppedResponse;
 import org.ebonyrun.ports.http.FrontLimits;
 import org.ebonyrun.ports.http.FrontServer;
-import org.ebonyrun.ports.http.HttpCaller;
 import org.ebonyrun.ports.store.StoreChange;
 import org.ebonyrun.ports.store.StoreItem;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
@@ -104,7 +104,7 @@
         mSelf = new ProcessName(settings.vm(), new Random().nextLong());
         mDuty = Duty.create("entry", RING, this, MonotonicClock.system(), TICK_NANOS);
         mTransport = transport();
-        HttpCaller caller = HttpCaller.on(mTransport, this::onDroppedAnswer);
+        AsyncHttpClient caller = AsyncHttpClient.usingTransport(mTransport, this::onDroppedAnswer);
         mStore =
                 new InstrumentedStore(
                         StoreClient.create(settings.store(), caller),
@@ -298,7 +298,7 @@
         mReader.onTick(now);
         if (now - mSweepAt >= 0) {
             mSweepAt = now + SWEEP_NANOS;
-            mFront.sweep(now);
+            mFront.closeExpiredConnections(now);
         }
         mOwnedSteps = mSteps.size();
         updateReady(now);
@@ -323,17 +323,17 @@
         mPlanner.onLeaseLost();
     }
 
-    private void onDroppedAnswer(DroppedAnswer answer) {
+    private void onDroppedAnswer(DroppedResponse answer) {
         mLog.write(
                 LogLine.of("answer.dropped")
-                        .with("request", answer.asked())
+                        .with("request", answer.awaitedId())
                         .with("answer_to", EndpointProtocol.named(answer.head()))
                         .with("status", answer.head().status())
                         .with("reason", answer.reason())
                         .with("peer", answer.peer())
-                        .with("connection", answer.use().connection())
-                        .with("connection_requests", answer.use().requests())
-                        .with("connection_idle_ms", answer.use().idleMillis()));
+                        .with("connection", answer.connectionUse().connection())
+                        .with("connection_requests", answer.connectionUse().requests())
+                        .with("connection_idle_ms", answer.connectionUse().idleMillis()));
         executor()
                 .execute(
                         () -> mMetrics.count(EntryMetrics.DROPPED_ANSWERS, answer.reason().name()));
@@ -564,17 +564,19 @@
             if (now - begin > finish) {
                 mDuty.post(mSteps::handOver);
             }
-            if (mOwnedSteps == 0 && now - begin > DRAIN_LEAST_NANOS && mFront.busy() == 0) {
+            if (mOwnedSteps == 0
+                    && now - begin > DRAIN_LEAST_NANOS
+                    && mFront.busyConnectionCount() == 0) {
                 break;
             }
         }
         mFront.stop();
-        while (mFront.busy() > 0 && System.nanoTime() - limit < 0) {
+        while (mFront.busyConnectionCount() > 0 && System.nanoTime() - limit < 0) {
             never.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
         }
         mDuty.post(mLease::release);
         never.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
-        mLog.write(LogLine.of("stopped").with("busy", mFront.busy()));
+        mLog.write(LogLine.of("stopped").with("busy", mFront.busyConnectionCount()));
         mLog.close();
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/InstrumentedStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/InstrumentedStore.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.ports.store.Commit;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.SharedStore;
 import org.ebonyrun.ports.store.StoreChanges;
 import org.ebonyrun.ports.store.StoreItem;
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public CompletableFuture<Result<Commit>> commit(Transaction transaction) {
+    public CompletableFuture<Result<CommitResult>> commit(Transaction transaction) {
         count("commit");
         return observed(mStore.commit(transaction));
     }
@@ -98,8 +98,8 @@
     }
 
     @Override
-    public CompletableFuture<Result<Boolean>> end(long lease) {
+    public CompletableFuture<Result<Boolean>> revoke(long lease) {
         count("end");
-        return observed(mStore.end(lease));
+        return observed(mStore.revoke(lease));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OrderLog.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OrderLog.java
@@ -17,8 +17,8 @@
 import org.ebonyrun.base.time.MonotonicClock;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.swap.OrderAges;
-import org.ebonyrun.ports.store.Commit;
 import org.ebonyrun.ports.store.CommitOutcome;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.SharedStore;
 import org.ebonyrun.ports.store.StoreItem;
 import org.ebonyrun.ports.store.Transaction;
@@ -173,9 +173,10 @@
         ages.forEach((endpoint, age) -> millis.put(endpoint, Nanos.toMillis(age)));
     }
 
-    private void onStored(List<Waiting> noted, long fence, long sentAt, Result<Commit> result) {
+    private void onStored(
+            List<Waiting> noted, long fence, long sentAt, Result<CommitResult> result) {
         mCalling = false;
-        boolean stored = result.fold(Commit::isCommitted, fault -> false);
+        boolean stored = result.fold(CommitResult::isCommitted, fault -> false);
         boolean lost =
                 result.fold(commit -> commit.outcome() == CommitOutcome.CONFLICT, fault -> false);
         boolean timely = mClock.nanoTime() - sentAt < NOTE_NANOS;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
@@ -24,9 +24,9 @@
 import org.ebonyrun.platform.EndpointDecoder;
 import org.ebonyrun.platform.EndpointProtocol;
 import org.ebonyrun.platform.OperatorDecoder;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
-import org.ebonyrun.ports.store.Commit;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpResponse;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.SharedStore;
 import org.ebonyrun.ports.store.StoreItem;
 import org.ebonyrun.ports.store.Transaction;
@@ -53,7 +53,7 @@
     private static final long NOTED_QUIET_MILLIS = 1_000;
 
     private final HostedContext mParts;
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final SharedStore mShared;
     private final StepStore mStore;
     private final SwapMachine mMachine;
@@ -74,7 +74,7 @@
 
     PlannerController(
             HostedContext parts,
-            HttpCaller caller,
+            AsyncHttpClient caller,
             SharedStore shared,
             StepStore store,
             Fleet fleet,
@@ -210,7 +210,7 @@
                 .thenAcceptAsync(this::onClaimed, mParts.executor());
     }
 
-    private void onClaimed(Result<Commit> result) {
+    private void onClaimed(Result<CommitResult> result) {
         long fence = result.fold(this::fence, fault -> 0L);
         if (fence == 0) {
             onClaimFailed();
@@ -252,7 +252,7 @@
         }
     }
 
-    private long fence(Commit commit) {
+    private long fence(CommitResult commit) {
         if (commit.isCommitted()) {
             return commit.revision();
         }
@@ -330,7 +330,7 @@
                 .thenAcceptAsync(result -> onState(endpoint, result), mParts.executor());
     }
 
-    private void onState(Endpoint endpoint, Result<HttpReply> result) {
+    private void onState(Endpoint endpoint, Result<HttpResponse> result) {
         long now = System.nanoTime();
         EndpointState state = result.fold(PlannerController::state, fault -> null);
         if (state == null) {
@@ -340,7 +340,7 @@
         }
     }
 
-    private static @Nullable EndpointState state(HttpReply reply) {
+    private static @Nullable EndpointState state(HttpResponse reply) {
         if (!reply.isSuccess()) {
             return null;
         }
@@ -379,7 +379,7 @@
                 .thenAcceptAsync(result -> onReply(endpoint, order, result), mParts.executor());
     }
 
-    private void onReply(Endpoint endpoint, SwapOrder order, Result<HttpReply> result) {
+    private void onReply(Endpoint endpoint, SwapOrder order, Result<HttpResponse> result) {
         OrderReply reply =
                 result.fold(
                         answer -> EndpointProtocol.orderReply(answer.status()),
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultReader.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultReader.java
@@ -190,12 +190,12 @@
     private void onWatched(Read read, Known known, Result<StoreChanges> result) {
         result.fold(
                 changes -> {
-                    if (changes.historyGone()) {
+                    if (changes.historyCompacted()) {
                         known.mRevision = 0;
                     } else {
                         take(known, changes);
                     }
-                    boolean all = !changes.historyGone() && changes.changes().isEmpty();
+                    boolean all = !changes.historyCompacted() && changes.changes().isEmpty();
                     if (isAnswered(read, known)) {
                         answer(read, known);
                     } else if (all && known.mRevision != 0) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
@@ -10,8 +10,8 @@
 import org.ebonyrun.core.step.SampleResult;
 import org.ebonyrun.core.step.StepId;
 import org.ebonyrun.core.step.StepMachine;
-import org.ebonyrun.ports.store.Commit;
 import org.ebonyrun.ports.store.CommitOutcome;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.StoreItem;
 import org.ebonyrun.ports.store.Transaction;
 
@@ -153,7 +153,7 @@
     }
 
     private void onAppended(
-            StepId id, OwnedStep owned, PendingResults append, Result<Commit> result) {
+            StepId id, OwnedStep owned, PendingResults append, Result<CommitResult> result) {
         append.mInFlight = false;
         if (!mOwner.isCurrent(id, owned)) {
             return;
@@ -191,7 +191,7 @@
     }
 
     /** Returns whether the conflict shows that the same results were stored before. */
-    private static boolean holds(Commit commit, StepId id, PendingResults append) {
+    private static boolean holds(CommitResult commit, StepId id, PendingResults append) {
         String key = StoreKeys.resultKey(id, append.mPosition);
         for (StoreItem item : commit.current()) {
             if (item.key().equals(key) && Arrays.equals(item.value(), append.mValue)) {
@@ -201,7 +201,7 @@
         return false;
     }
 
-    private boolean ownerChanged(Commit commit, StepId id, OwnedStep owned) {
+    private boolean ownerChanged(CommitResult commit, StepId id, OwnedStep owned) {
         String key = StoreKeys.liveKey(id, StoreKeys.OWNER);
         String resultKey =
                 StoreKeys.resultKey(id, owned.mPending == null ? 0 : owned.mPending.mPosition);
@@ -232,7 +232,7 @@
     }
 
     private void onClaimedAgain(
-            StepId id, OwnedStep owned, PendingResults append, Result<Commit> result) {
+            StepId id, OwnedStep owned, PendingResults append, Result<CommitResult> result) {
         append.mInFlight = false;
         if (!mOwner.isCurrent(id, owned)) {
             return;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
@@ -23,7 +23,7 @@
 import org.ebonyrun.core.step.StepOutputs;
 import org.ebonyrun.core.step.StepSpec;
 import org.ebonyrun.platform.EndpointProtocol;
-import org.ebonyrun.ports.http.HttpCaller;
+import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.ebonyrun.ports.http.SseEvent;
 
 /**
@@ -36,7 +36,7 @@
     private static final long SCORE_GOALS = 4;
 
     private final HostedContext mParts;
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final StepMachine mMachine;
     private final Map<Long, SampleExchange> mRuns = new HashMap<>();
     private final RouteFinder mRoutes;
@@ -50,7 +50,7 @@
         Optional<Route> find(String host, String path);
     }
 
-    SampleController(HostedContext parts, HttpCaller caller, Fleet fleet, RouteFinder routes) {
+    SampleController(HostedContext parts, AsyncHttpClient caller, Fleet fleet, RouteFinder routes) {
         mParts = parts;
         mCaller = caller;
         mRoutes = routes;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Executor;
 import org.ebonyrun.core.step.RunOutcome;
 import org.ebonyrun.platform.EndpointProtocol;
-import org.ebonyrun.ports.http.HttpHead;
+import org.ebonyrun.ports.http.HttpResponseHead;
 import org.ebonyrun.ports.http.SseEvent;
 import org.ebonyrun.ports.http.SseEventParser;
 
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void onHead(HttpHead head) {
+    public void onHead(HttpResponseHead head) {
         mHead = head;
         mStream = EndpointProtocol.isStream(head);
         if (mStream) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
@@ -28,8 +28,8 @@
 import org.ebonyrun.core.step.StepMachine;
 import org.ebonyrun.core.step.StepSpec;
 import org.ebonyrun.platform.StepDecoder;
-import org.ebonyrun.ports.store.Commit;
 import org.ebonyrun.ports.store.CommitOutcome;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.Transaction;
 import org.jspecify.annotations.Nullable;
 
@@ -155,7 +155,7 @@
             StepSpec spec,
             StepManifest manifest,
             Route route,
-            Result<Commit> result,
+            Result<CommitResult> result,
             Consumer<Result<Boolean>> answer) {
         mAccepting.remove(spec.id());
         boolean unknown = result.fold(commit -> false, fault -> !fault.isNotRun());
@@ -181,7 +181,7 @@
      * Looks whether a step was accepted although the answer was lost. If it was, the watch tells
      * who owns it; if it was not, it may still be, so the outcome stays unknown.
      */
-    private void readBack(StepId id, Result<Commit> lost, Consumer<Result<Boolean>> answer) {
+    private void readBack(StepId id, Result<CommitResult> lost, Consumer<Result<Boolean>> answer) {
         mStore.isAccepted(id)
                 .thenAcceptAsync(
                         result -> {
@@ -371,7 +371,7 @@
                         System.nanoTime());
     }
 
-    private void onReclaimed(StepId id, Result<Commit> result) {
+    private void onReclaimed(StepId id, Result<CommitResult> result) {
         mClaiming.remove(id);
         OwnedStep owned = mOwned.get(id);
         if (owned == null) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
@@ -13,7 +13,7 @@
 import org.ebonyrun.core.step.SampleCheckpoint;
 import org.ebonyrun.core.step.SampleResult;
 import org.ebonyrun.core.step.StepId;
-import org.ebonyrun.ports.store.Commit;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.SharedStore;
 import org.ebonyrun.ports.store.StoreItem;
 import org.ebonyrun.ports.store.StorePage;
@@ -37,10 +37,10 @@
     }
 
     /** Accepts a step for an owner, if it was not accepted before. */
-    CompletableFuture<Result<Commit>> accept(
+    CompletableFuture<Result<CommitResult>> accept(
             StepId id, StepManifest manifest, byte[] submission, String owner, long lease) {
         List<byte[]> chunks = split(submission);
-        CompletableFuture<Result<Commit>> before =
+        CompletableFuture<Result<CommitResult>> before =
                 CompletableFuture.completedFuture(Result.ok(null));
         int last = chunks.size() - CHUNKS_AT_ONCE;
         for (int i = 0; i < last; i++) {
@@ -90,7 +90,7 @@
      *
      * @param ownerRevision the revision of the owner's key that is replaced, or absent
      */
-    CompletableFuture<Result<Commit>> claim(
+    CompletableFuture<Result<CommitResult>> claim(
             StepId id, long ownerRevision, String owner, long lease) {
         String key = StoreKeys.liveKey(id, StoreKeys.OWNER);
         return mStore.commit(
@@ -107,7 +107,7 @@
      *
      * @param partial texts of unfinished samples to keep with them; empty to leave them as they are
      */
-    CompletableFuture<Result<Commit>> appendResults(
+    CompletableFuture<Result<CommitResult>> appendResults(
             StepId id,
             long ownerRevision,
             int position,
@@ -131,7 +131,7 @@
     }
 
     /** Keeps texts of unfinished samples, if the owner's key is unchanged. */
-    CompletableFuture<Result<Commit>> storeCheckpoint(
+    CompletableFuture<Result<CommitResult>> storeCheckpoint(
             StepId id, long ownerRevision, byte[] partial) {
         return mStore.commit(
                 Transaction.builder()
@@ -141,7 +141,7 @@
     }
 
     /** Notes that the trainer ended a step. */
-    CompletableFuture<Result<Commit>> markEnded(StepId id) {
+    CompletableFuture<Result<CommitResult>> markEnded(StepId id) {
         String key = StoreKeys.liveKey(id, StoreKeys.END);
         return mStore.commit(
                 Transaction.builder()
@@ -151,7 +151,7 @@
     }
 
     /** Hands a step over: keeps texts of unfinished samples and gives the ownership up. */
-    CompletableFuture<Result<Commit>> release(
+    CompletableFuture<Result<CommitResult>> release(
             StepId id, long ownerRevision, List<SampleCheckpoint> texts) {
         String ownerKey = StoreKeys.liveKey(id, StoreKeys.OWNER);
         Transaction.Builder transaction =
@@ -183,7 +183,7 @@
     private CompletableFuture<Result<Void>> removeAll(List<StoreItem> items, List<String> live) {
         List<String> keys = new ArrayList<>(items.stream().map(StoreItem::key).toList());
         keys.addAll(live);
-        CompletableFuture<Result<Commit>> chain =
+        CompletableFuture<Result<CommitResult>> chain =
                 CompletableFuture.completedFuture(Result.ok(null));
         for (int from = 0; from < keys.size(); from += Transaction.MAX_ENTRIES) {
             Transaction.Builder removal = Transaction.builder();
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreWatch.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreWatch.java
@@ -184,7 +184,7 @@
         result.fold(
                 changes -> {
                     mListener.onResponse();
-                    if (changes.historyGone()) {
+                    if (changes.historyCompacted()) {
                         mRevision = 0;
                         start();
                     } else {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ConfigStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ConfigStore.java
@@ -103,7 +103,7 @@
                         KEY,
                         Json.write(next),
                         current.revision(),
-                        KeyValueStore.FOREVER_MILLIS,
+                        KeyValueStore.NO_EXPIRY_MILLIS,
                         stored -> Json.read(stored, StoredConfig.class).nonces().contains(nonce))
                 .thenCompose(
                         result ->
@@ -119,7 +119,7 @@
                     HISTORY + next.version(),
                     Json.write(next),
                     KeyValueStore.ABSENT,
-                    KeyValueStore.FOREVER_MILLIS);
+                    KeyValueStore.NO_EXPIRY_MILLIS);
             return done(Result.ok(next));
         }
         return read().thenApply(
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/FenceStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/FenceStore.java
@@ -69,7 +69,7 @@
                         key(leaseKey),
                         value,
                         revision,
-                        KeyValueStore.FOREVER_MILLIS,
+                        KeyValueStore.NO_EXPIRY_MILLIS,
                         stored -> Arrays.equals(stored, value))
                 .thenCompose(
                         result ->
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/agent/PlainAdapterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/agent/PlainAdapterTest.java
@@ -19,7 +19,7 @@
 import org.ebonyrun.core.attempt.WorkKind;
 import org.ebonyrun.platform.standin.Stutter;
 import org.ebonyrun.platform.standin.StutteringEndpoint;
-import org.ebonyrun.ports.http.HttpCaller;
+import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -29,12 +29,12 @@
     private static final int TIMEOUT_SECONDS = 10;
     private static final int JOBS = 6;
 
-    private HttpCaller mCaller;
+    private AsyncHttpClient mCaller;
     private StutteringEndpoint mService;
 
     @BeforeEach
     void start() throws IOException {
-        mCaller = HttpCaller.start();
+        mCaller = AsyncHttpClient.start();
         mService = StutteringEndpoint.start("i-1", 1, Stutter.never());
     }
 
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
@@ -18,8 +18,8 @@
 import org.ebonyrun.platform.standin.StutteringEndpoint;
 import org.ebonyrun.platform.standin.StutteringEndpoint.Event;
 import org.ebonyrun.platform.standin.StutteringEndpoint.Received;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
@@ -65,22 +65,23 @@
     }
 
     /** Sends a call whose caller waits for long. */
-    CompletableFuture<HttpReply> sendAsync(String front, String path, String id, String body) {
+    CompletableFuture<HttpResponse> sendAsync(String front, String path, String id, String body) {
         return sendAsync(front, path, id, body, CALLER_MILLIS);
     }
 
-    CompletableFuture<HttpReply> sendAsync(
+    CompletableFuture<HttpResponse> sendAsync(
             String front, String path, String id, String body, long deadlineMillis) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        HttpCall call =
-                HttpCall.to(
+        HttpRequest call =
+                HttpRequest.to(
                         "POST",
                         URI.create("http://" + front + path),
                         StandinScene.headers(id, deadlineMillis),
                         bytes,
                         CALLER_MILLIS + TIMEOUT_MILLIS);
         return mCaller.request(call, "test")
-                .thenApply(result -> result.fold(r -> r, fault -> new HttpReply(0, new byte[0])));
+                .thenApply(
+                        result -> result.fold(r -> r, fault -> new HttpResponse(0, new byte[0])));
     }
 
     /** Looks at an entry until something holds, at most a number of times. */
@@ -94,7 +95,7 @@
      * Waits for the answer to a call, and releases what the endpoint holds back once the entry had
      * time to send the call once more.
      */
-    HttpReply awaitResponse(CompletableFuture<HttpReply> asked, String id) {
+    HttpResponse awaitResponse(CompletableFuture<HttpResponse> asked, String id) {
         pollUntil(RETRY_POLLS, () -> asked.isDone() || mEndpoint.runs(id).size() > 1);
         mEndpoint.release();
         return asked.join();
@@ -109,7 +110,7 @@
         List<JsonNode> results = new ArrayList<>();
         for (int i = 0; i < MOST_PAGES && results.size() < wanted; i++) {
             String path = mScene.resultsPath(step, results.size());
-            HttpReply page = send(front, "GET", path, "", "");
+            HttpResponse page = send(front, "GET", path, "", "");
             if (page.isSuccess()) {
                 JsonTrees.read(page.body()).path("results").forEach(results::add);
             }
@@ -148,7 +149,7 @@
                 .orElseThrow(() -> new AssertionError("no run " + run));
     }
 
-    static void checkEchoed(HttpReply reply, String body) {
+    static void checkEchoed(HttpResponse reply, String body) {
         assertThat("status of the answer", reply.status(), is(OK));
         assertThat("body of the answer", reply.text(), is(body));
     }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
@@ -25,7 +25,7 @@
 import org.ebonyrun.platform.standin.Stutter;
 import org.ebonyrun.platform.standin.StutteringEndpoint;
 import org.ebonyrun.platform.standin.StutteringEndpoint.Received;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -61,7 +61,7 @@
 
     /** A call that was sent. */
     private record Call(
-            String id, boolean onceOnly, String body, CompletableFuture<HttpReply> answer) {}
+            String id, boolean onceOnly, String body, CompletableFuture<HttpResponse> answer) {}
 
     /** A step that was submitted. */
     private record Step(String id, List<String> samples, boolean scored) {}
@@ -150,7 +150,7 @@
     private void look() {
         String id = SPARED + "-" + ++mLooks;
         String body = "body of " + id;
-        HttpReply reply = send(front(), "POST", mScene.callPath(), id, body);
+        HttpResponse reply = send(front(), "POST", mScene.callPath(), id, body);
         if (reply.isSuccess()) {
             assertThat(id, reply.text(), is(body));
         }
@@ -217,7 +217,7 @@
 
     private List<JsonNode> page(String front, String step, int from) {
         List<JsonNode> results = new ArrayList<>();
-        HttpReply reply = send(front, "GET", mScene.resultsPath(step, from), "", "");
+        HttpResponse reply = send(front, "GET", mScene.resultsPath(step, from), "", "");
         if (reply.isSuccess()) {
             JsonTrees.read(reply.body()).path("results").forEach(results::add);
         }
@@ -264,7 +264,7 @@
     }
 
     private void check(String why, Call call) {
-        HttpReply reply = call.answer().join();
+        HttpResponse reply = call.answer().join();
         List<Integer> given = given(call.id());
         String full = why + " answered " + reply.status() + ", runs " + runs(call.id());
         assertThat(full, reply.status(), is(in(STATUSES)));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
@@ -15,7 +15,7 @@
 import org.ebonyrun.platform.standin.Stutter.Plan;
 import org.ebonyrun.platform.standin.Stutter.Repeat;
 import org.ebonyrun.platform.standin.Stutter.Reply;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -37,7 +37,7 @@
     void aCallThatRunsOnceIsNotRunAgainBecauseItsRefusalComesTwice() {
         Plan refusal = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE);
         mEndpoint.stutter(Stutter.scripted(Map.of("u1", List.of(refusal, LAGGING))));
-        HttpReply reply =
+        HttpResponse reply =
                 awaitResponse(sendAsync(mFirstFront, mScene.onceOnlyPath(), "u1", "pay"), "u1");
 
         assertThat("runs of the call", mEndpoint.runs("u1").size(), is(1));
@@ -51,7 +51,7 @@
         mEndpoint.stutter(request -> request.sentBefore() == 0 ? refusal : LAGGING);
         for (int i = 0; i < SHORT_CALLS; i++) {
             String id = "u2-" + i;
-            HttpReply reply =
+            HttpResponse reply =
                     awaitResponse(
                             sendAsync(
                                     mFirstFront, mScene.onceOnlyPath(), id, "pay", deadlineMillis),
@@ -80,7 +80,7 @@
         Plan other = Plan.of(reply).repeated(repeat).framed(framing, framing);
         mEndpoint.stutter(Stutter.scripted(Map.of("x1", List.of(other))));
         sendAsync(mFirstFront, mScene.onceOnlyPath(), "x1", "other").join();
-        HttpReply own = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u3", "pay").join();
+        HttpResponse own = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u3", "pay").join();
 
         checkEchoed(own, "pay");
         assertThat("runs of the call", mEndpoint.runs("u3").size(), is(1));
@@ -207,7 +207,7 @@
             sendAsync(mFirstFront, mScene.callPath(), id, "other", SHORT_DEADLINE_MILLIS).join();
             refusedOnce = mEndpoint.received(id).size() == 1;
         }
-        HttpReply reply =
+        HttpResponse reply =
                 awaitResponse(sendAsync(mFirstFront, mScene.onceOnlyPath(), "u4", "pay"), "u4");
 
         checkRunOnceOrLost("u4", reply);
@@ -218,7 +218,7 @@
         Plan failure = Plan.of(Reply.FAILED).repeated(Repeat.LATE).withoutIdWhenRepeated();
         mEndpoint.stutter(Stutter.scripted(Map.of("x1", List.of(failure))));
         sendAsync(mFirstFront, mScene.onceOnlyPath(), "x1", "other").join();
-        HttpReply reply = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u5", "pay").join();
+        HttpResponse reply = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u5", "pay").join();
 
         checkRunOnceOrLost("u5", reply);
     }
@@ -227,7 +227,7 @@
      * Checks that a call has run once and got its answer, or was lost: the endpoint may see the end
      * of the connection before it has read the request.
      */
-    private void checkRunOnceOrLost(String id, HttpReply reply) {
+    private void checkRunOnceOrLost(String id, HttpResponse reply) {
         int runs = mEndpoint.runs(id).size();
         assertThat("runs of the call", runs, is(lessThanOrEqualTo(1)));
         assertThat("status of the call", reply.status(), anyOf(is(200), is(502)));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
@@ -14,7 +14,7 @@
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.core.step.StepId;
 import org.ebonyrun.platform.standin.StandinEndpoint;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -22,7 +22,7 @@
 class HostedEntryTest extends HostedFixture {
     @Test
     void aCallIsAnsweredByTheEndpointOfItsRoute() {
-        HttpReply reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
+        HttpResponse reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
 
         assertThat(reply.status(), is(200));
         assertThat(reply.text(), is(mScene.callBody()));
@@ -31,7 +31,7 @@
     @Test
     void aCallThatAnEndpointRefusedIsTriedAgain() {
         mScene.endpoint().refuseNext(1);
-        HttpReply reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
+        HttpResponse reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
 
         assertThat(reply.status(), is(200));
     }
@@ -187,7 +187,7 @@
         sendUntil(reply -> reply.status() == 404, mFirstFront, "POST", mScene.callPath(), "c");
         mScene.platform().put("op/config", mScene.config(2));
         mScene.platform().put("op/config", without.replace("\"version\":3", "\"version\":4"));
-        sendUntil(HttpReply::isSuccess, mFirstFront, "POST", "/moved/1", "c");
+        sendUntil(HttpResponse::isSuccess, mFirstFront, "POST", "/moved/1", "c");
 
         assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "").status(), is(404));
     }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
@@ -18,9 +18,9 @@
 import org.ebonyrun.base.log.EventLog;
 import org.ebonyrun.core.policy.Mechanism;
 import org.ebonyrun.platform.standin.StandinScene;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
@@ -41,7 +41,7 @@
     static final int SOCKET_TIMEOUT_MILLIS = 10_000;
 
     StandinScene mScene;
-    HttpCaller mCaller;
+    AsyncHttpClient mCaller;
     String mFirstFront;
     String mSecondFront;
     String mMetricsAddress;
@@ -52,7 +52,7 @@
     @BeforeEach
     void start() throws IOException {
         mScene = StandinScene.start(freeAddress(), freeAddress());
-        mCaller = HttpCaller.start();
+        mCaller = AsyncHttpClient.start();
         startEntries();
     }
 
@@ -115,17 +115,18 @@
         return address.getHostString() + ":" + address.getPort();
     }
 
-    HttpReply send(String front, String method, String path, String id, String body) {
+    HttpResponse send(String front, String method, String path, String id, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         URI uri = URI.create("http://" + front + path);
-        HttpCall call = HttpCall.to(method, uri, StandinScene.headers(id), bytes, TIMEOUT_MILLIS);
-        return mCaller.request(call, "test").join().fold(r -> r, f -> new HttpReply(0, bytes));
+        HttpRequest call =
+                HttpRequest.to(method, uri, StandinScene.headers(id), bytes, TIMEOUT_MILLIS);
+        return mCaller.request(call, "test").join().fold(r -> r, f -> new HttpResponse(0, bytes));
     }
 
     /** Repeats a request until its answer is as wanted; each try takes the time of an exchange. */
-    HttpReply sendUntil(
-            Predicate<HttpReply> wanted, String front, String method, String path, String id) {
-        HttpReply reply = send(front, method, path, id, "");
+    HttpResponse sendUntil(
+            Predicate<HttpResponse> wanted, String front, String method, String path, String id) {
+        HttpResponse reply = send(front, method, path, id, "");
         for (int i = 0; i < MAX_TRIES && !wanted.test(reply); i++) {
             reply = send(front, method, path, id, "");
         }
@@ -139,7 +140,7 @@
     }
 
     void awaitReady(String front) {
-        sendUntil(HttpReply::isSuccess, front, "POST", mScene.callPath(), "warm");
+        sendUntil(HttpResponse::isSuccess, front, "POST", mScene.callPath(), "warm");
     }
 
     /** Reads all results of a step, page by page as a trainer does, and returns their text. */
@@ -147,7 +148,7 @@
         StringBuilder pages = new StringBuilder();
         int next = 0;
         for (int i = 0; i < MAX_TRIES && next < mScene.samples(); i++) {
-            HttpReply page = send(front, "GET", mScene.resultsPath(step, next), "", "");
+            HttpResponse page = send(front, "GET", mScene.resultsPath(step, next), "", "");
             if (page.isSuccess()) {
                 JsonNode json = JsonTrees.read(page.body());
                 json.path("results").forEach(result -> pages.append(result).append('\n'));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
@@ -16,7 +16,7 @@
 import org.ebonyrun.core.step.StepId;
 import org.ebonyrun.platform.standin.StandinEndpoint;
 import org.ebonyrun.platform.standin.StandinStore;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -118,7 +118,7 @@
     private void call() {
         String body = "call-" + ++mCalls;
         String front = mCalls % 2 == 0 ? mFirstFront : mSecondFront;
-        HttpReply reply = send(front, "POST", mScene.callPath(), body, body);
+        HttpResponse reply = send(front, "POST", mScene.callPath(), body, body);
 
         assertThat(body, reply.status(), is(200));
         assertThat(reply.text(), is(body));
@@ -138,7 +138,8 @@
             }
             case OWNER_CRASHES -> crashOwner(step);
             case STEP_ENDS_EARLY -> {
-                sendUntil(HttpReply::isSuccess, mSecondFront, "DELETE", mScene.endPath(step), "");
+                sendUntil(
+                        HttpResponse::isSuccess, mSecondFront, "DELETE", mScene.endPath(step), "");
                 return true;
             }
             case VERSION_IS_NAMED -> {
@@ -199,7 +200,7 @@
         while (next != from) {
             from = Math.max(next, 0);
             String path = mScene.resultsPath(step, from);
-            HttpReply page = sendUntil(HttpReply::isSuccess, front, "GET", path, "");
+            HttpResponse page = sendUntil(HttpResponse::isSuccess, front, "GET", path, "");
             JsonNode json = JsonTrees.read(page.body());
             json.path("results").forEach(result -> results.append(result).append('\n'));
             next = json.path("next").asInt();
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/OrderLogTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/OrderLogTest.java
@@ -17,8 +17,8 @@
 import org.ebonyrun.base.result.Result;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.swap.OrderAges;
-import org.ebonyrun.ports.store.Commit;
 import org.ebonyrun.ports.store.CommitOutcome;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.StoreItem;
 import org.ebonyrun.ports.store.Transaction;
 import org.junit.jupiter.api.Test;
@@ -33,11 +33,11 @@
 
     /** A store that keeps the note, and answers commits when the test says so. */
     private static final class FakeStore extends StubStore {
-        final List<CompletableFuture<Result<Commit>>> mCommits = new ArrayList<>();
+        final List<CompletableFuture<Result<CommitResult>>> mCommits = new ArrayList<>();
         final List<Transaction> mTransactions = new ArrayList<>();
 
         @Override
-        public CompletableFuture<Result<Commit>> commit(Transaction transaction) {
+        public CompletableFuture<Result<CommitResult>> commit(Transaction transaction) {
             mTransactions.add(transaction);
             mCommits.add(new CompletableFuture<>());
             return mCommits.get(mCommits.size() - 1);
@@ -71,7 +71,7 @@
     }
 
     private void answer(int call, CommitOutcome outcome) {
-        mStore.mCommits.get(call).complete(Result.ok(new Commit(outcome, 9, List.of())));
+        mStore.mCommits.get(call).complete(Result.ok(new CommitResult(outcome, 9, List.of())));
     }
 
     @Test
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultReaderTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultReaderTest.java
@@ -95,7 +95,7 @@
 
         private StoreChanges changes(long after) {
             if (after < mOldest) {
-                return StoreChanges.gone();
+                return StoreChanges.ofCompactedHistory();
             }
             List<StoreChange> found = new ArrayList<>();
             for (StoreItem item : mItems) {
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
@@ -34,7 +34,7 @@
 import org.ebonyrun.core.step.StepMachine;
 import org.ebonyrun.core.step.StepOutputs;
 import org.ebonyrun.core.step.StepSpec;
-import org.ebonyrun.ports.store.Commit;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.Transaction;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -52,7 +52,7 @@
         final List<Transaction> mTransactions = new ArrayList<>();
 
         @Override
-        public CompletableFuture<Result<Commit>> commit(Transaction transaction) {
+        public CompletableFuture<Result<CommitResult>> commit(Transaction transaction) {
             mTransactions.add(transaction);
             return new CompletableFuture<>();
         }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreWatchTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreWatchTest.java
@@ -115,7 +115,7 @@
     @Test
     void afterAGapAllKeysAreReadAgain() {
         mWatch.start();
-        answer(0, Result.ok(StoreChanges.gone()));
+        answer(0, Result.ok(StoreChanges.ofCompactedHistory()));
 
         assertThat(mStore.mRanges, is(2));
         assertThat(mSaid, contains("snapshot", "snapshot"));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StubStore.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StubStore.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.ports.store.Commit;
+import org.ebonyrun.ports.store.CommitResult;
 import org.ebonyrun.ports.store.SharedStore;
 import org.ebonyrun.ports.store.StoreChanges;
 import org.ebonyrun.ports.store.StoreItem;
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public CompletableFuture<Result<Commit>> commit(Transaction transaction) {
+    public CompletableFuture<Result<CommitResult>> commit(Transaction transaction) {
         throw new UnsupportedOperationException("commit");
     }
 
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public CompletableFuture<Result<Boolean>> end(long lease) {
+    public CompletableFuture<Result<Boolean>> revoke(long lease) {
         throw new UnsupportedOperationException("end");
     }
 }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpCaller.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/AsyncHttpClient.java
@@ -27,7 +27,7 @@
  * is given only the answer to its own sending of a request, as its call's {@link Correlation}
  * tells.
  */
-public final class HttpCaller implements AutoCloseable {
+public final class AsyncHttpClient implements AutoCloseable {
     /** How long a connection may take to open, in milliseconds. */
     public static final long CONNECT_TIMEOUT_MILLIS = 1_000;
 
@@ -38,7 +38,8 @@
     private final ScheduledThreadPoolExecutor mTimer;
     private final AtomicLong mOpened = new AtomicLong();
 
-    private HttpCaller(TCPNIOTransport transport, boolean ownsTransport, AnswerObserver observer) {
+    private AsyncHttpClient(
+            TCPNIOTransport transport, boolean ownsTransport, DroppedResponseListener observer) {
         mTransport = transport;
         mOwnsTransport = ownsTransport;
         mConnector =
@@ -46,7 +47,7 @@
                         .processor(
                                 FilterChainBuilder.stateless()
                                         .add(new TransportFilter())
-                                        .add(new AnswerParser(observer))
+                                        .add(new HttpResponseParser(observer))
                                         .add(new ExchangeFilter(observer))
                                         .build())
                         .build();
@@ -62,7 +63,7 @@
     }
 
     /** Creates and starts a client with an I/O thread of its own. */
-    public static HttpCaller start() throws IOException {
+    public static AsyncHttpClient start() throws IOException {
         TCPNIOTransport transport =
                 TCPNIOTransportBuilder.newInstance()
                         .setIOStrategy(SameThreadIOStrategy.getInstance())
@@ -76,7 +77,7 @@
                         .setTcpNoDelay(true)
                         .build();
         transport.start();
-        return new HttpCaller(transport, true, AnswerObserver.none());
+        return new AsyncHttpClient(transport, true, DroppedResponseListener.none());
     }
 
     /**
@@ -84,21 +85,22 @@
      *
      * @param observer hears of answers that no request may take
      */
-    public static HttpCaller on(TCPNIOTransport transport, AnswerObserver observer) {
-        return new HttpCaller(transport, false, observer);
+    public static AsyncHttpClient usingTransport(
+            TCPNIOTransport transport, DroppedResponseListener observer) {
+        return new AsyncHttpClient(transport, false, observer);
     }
 
     /** Sends a request and reports its response to {@code listener}. */
-    public HttpExchange send(HttpCall call, HttpListener listener) {
+    public HttpExchange send(HttpRequest call, HttpResponseListener listener) {
         HttpExchange exchange = new HttpExchange(call, listener, mPool);
         if (call.timeoutMillis() > 0) {
             String detail = "timeout after " + call.timeoutMillis() + " ms";
             failAfter(exchange, call.timeoutMillis(), detail);
         }
         boolean begun = false;
-        CallerConnection idle = takeIdle(call);
+        ClientConnection idle = takeIdle(call);
         while (idle != null && !begun) {
-            begun = exchange.begin(idle);
+            begun = exchange.trySend(idle);
             idle = begun ? null : takeIdle(call);
         }
         if (!begun) {
@@ -107,16 +109,18 @@
         return exchange;
     }
 
-    private @Nullable CallerConnection takeIdle(HttpCall call) {
+    private @Nullable ClientConnection takeIdle(HttpRequest call) {
         return call.sharesConnection()
                 ? mPool.take(call.address(), call.correlation(), System.nanoTime())
                 : null;
     }
 
-    private void connect(HttpCall call, HttpExchange exchange) {
+    private void connect(HttpRequest call, HttpExchange exchange) {
         exchange.setConnectTimeout(
                 mTimer.schedule(
-                        exchange::failConnect, CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+                        exchange::failIfNotConnected,
+                        CONNECT_TIMEOUT_MILLIS,
+                        TimeUnit.MILLISECONDS));
         mConnector.connect(
                 call.address(),
                 new EmptyCompletionHandler<Connection>() {
@@ -124,8 +128,8 @@
                     @SuppressWarnings("rawtypes")
                     public void completed(Connection connection) {
                         long number = mOpened.incrementAndGet();
-                        if (!exchange.begin(
-                                CallerConnection.open(connection, call.address(), number))) {
+                        if (!exchange.trySend(
+                                ClientConnection.open(connection, call.address(), number))) {
                             exchange.fail("connection closed");
                         }
                     }
@@ -147,8 +151,8 @@
      *
      * @return a reply with any status, or a fault that tells whether the request may have left
      */
-    public CompletableFuture<Result<HttpReply>> request(HttpCall call, String step) {
-        CompletableFuture<Result<HttpReply>> answer = new CompletableFuture<>();
+    public CompletableFuture<Result<HttpResponse>> request(HttpRequest call, String step) {
+        CompletableFuture<Result<HttpResponse>> answer = new CompletableFuture<>();
         send(call, new Collector(call, step, answer));
         return answer;
     }
@@ -168,21 +172,21 @@
     }
 
     /** Collects a response. Used by one I/O thread at a time. */
-    private static final class Collector implements HttpListener {
-        private final HttpCall mCall;
+    private static final class Collector implements HttpResponseListener {
+        private final HttpRequest mCall;
         private final String mStep;
-        private final CompletableFuture<Result<HttpReply>> mAnswer;
+        private final CompletableFuture<Result<HttpResponse>> mAnswer;
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
-        private @Nullable HttpHead mHead;
+        private @Nullable HttpResponseHead mHead;
 
-        Collector(HttpCall call, String step, CompletableFuture<Result<HttpReply>> answer) {
+        Collector(HttpRequest call, String step, CompletableFuture<Result<HttpResponse>> answer) {
             mCall = call;
             mStep = step;
             mAnswer = answer;
         }
 
         @Override
-        public void onHead(HttpHead head) {
+        public void onHead(HttpResponseHead head) {
             mHead = head;
         }
 
@@ -194,7 +198,7 @@
         @Override
         public void onEnd() {
             int status = mHead == null ? 0 : mHead.status();
-            mAnswer.complete(Result.ok(new HttpReply(status, mBody.toByteArray())));
+            mAnswer.complete(Result.ok(new HttpResponse(status, mBody.toByteArray())));
         }
 
         @Override
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/CallerConnection.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/ClientConnection.java
@@ -13,8 +13,8 @@
  * <p>Thread safe: guarded by this object's monitor. At most one exchange is bound at a time. A
  * connection carries each request id once, and none after an answer to another request has come.
  */
-final class CallerConnection {
-    private static final Attribute<CallerConnection> SELF =
+final class ClientConnection {
+    private static final Attribute<ClientConnection> SELF =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("ebonyrun.caller");
 
     // Answers to other requests that one request waits through.
@@ -23,7 +23,7 @@
     private final Connection<?> mConnection;
     private final InetSocketAddress mPeer;
     private final long mNumber;
-    private final CarriedIds mCarried = new CarriedIds();
+    private final RequestIdFingerprints mCarried = new RequestIdFingerprints();
     private @Nullable HttpExchange mExchange;
     private ConnectionUse mUse = ConnectionUse.NONE;
     private boolean mHeadSeen;
@@ -34,27 +34,27 @@
     private int mRequests;
     private long mIdleSince;
 
-    private CallerConnection(Connection<?> connection, InetSocketAddress peer, long number) {
+    private ClientConnection(Connection<?> connection, InetSocketAddress peer, long number) {
         mConnection = connection;
         mPeer = peer;
         mNumber = number;
     }
 
     /** Wraps a connection that was just opened. */
-    static CallerConnection open(Connection<?> connection, InetSocketAddress peer, long number) {
-        CallerConnection wrapped = new CallerConnection(connection, peer, number);
+    static ClientConnection open(Connection<?> connection, InetSocketAddress peer, long number) {
+        ClientConnection wrapped = new ClientConnection(connection, peer, number);
         SELF.set(connection, wrapped);
         return wrapped;
     }
 
     /** Returns what is kept of a connection; null before {@link #open}. */
-    static @Nullable CallerConnection of(Connection<?> connection) {
+    static @Nullable ClientConnection of(Connection<?> connection) {
         return SELF.get(connection);
     }
 
     /** Returns the exchange that waits on a connection; null if none does. */
     static @Nullable HttpExchange exchangeOn(Connection<?> connection) {
-        CallerConnection wrapped = of(connection);
+        ClientConnection wrapped = of(connection);
         return wrapped == null ? null : wrapped.exchange();
     }
 
@@ -114,8 +114,8 @@
      * Returns the exchange that waits for the bytes that have arrived. If none does, the connection
      * ends here, and no exchange can be bound any more.
      */
-    @Nullable HttpExchange exchangeOrEnd(AnswerObserver observer) {
-        DroppedAnswer unasked;
+    @Nullable HttpExchange exchangeOrClose(DroppedResponseListener observer) {
+        DroppedResponse unasked;
         synchronized (this) {
             if (mExchange != null) {
                 return mExchange;
@@ -124,14 +124,14 @@
             mEnded = true;
         }
         if (unasked != null) {
-            observer.onDropped(unasked);
+            observer.onDroppedResponse(unasked);
         }
         close();
         return null;
     }
 
     /** Returns whether a request with an id may have been sent on this connection. */
-    synchronized boolean mayHaveCarried(String id) {
+    synchronized boolean mayHaveSent(String id) {
         return !id.isEmpty() && mCarried.mayContain(id);
     }
 
@@ -146,7 +146,7 @@
     }
 
     /** Returns whether this is the first piece of the answer that is being read. */
-    synchronized boolean beginsAnswer() {
+    synchronized boolean markHeadSeen() {
         boolean first = !mHeadSeen;
         mHeadSeen = true;
         return first;
@@ -157,7 +157,7 @@
      *
      * @return whether the connection may bring so many more of them
      */
-    synchronized boolean skipAnswer() {
+    synchronized boolean skipResponse() {
         mSkipping = true;
         mSuspect = true;
         mSkipped++;
@@ -165,7 +165,7 @@
     }
 
     /** Notes that the peer does not say whose its answers are. */
-    synchronized void distrust() {
+    synchronized void markAmbiguous() {
         mSuspect = true;
     }
 
@@ -174,21 +174,22 @@
     }
 
     /** Ends an answer that was skipped; the next one may be that to the bound request. */
-    synchronized void endSkipped() {
+    synchronized void finishSkippedResponse() {
         mSkipping = false;
         mHeadSeen = false;
     }
 
     /** Describes bytes that came although no request waits. */
-    private DroppedAnswer unasked() {
-        HttpHead unread = new HttpHead(0, HttpHeaders.empty(), false);
+    private DroppedResponse unasked() {
+        HttpResponseHead unread = new HttpResponseHead(0, HttpHeaders.empty(), false);
         long idle = Nanos.toMillis(System.nanoTime() - mIdleSince);
         ConnectionUse use = new ConnectionUse(mNumber, mRequests, idle);
-        return new DroppedAnswer(mPeer, use, "", DroppedAnswer.Reason.NOTHING_ASKED, unread);
+        return new DroppedResponse(mPeer, use, "", DroppedResponse.Reason.NOTHING_ASKED, unread);
     }
 
     /** Describes an answer that the bound request does not take. */
-    synchronized DroppedAnswer dropped(String asked, DroppedAnswer.Reason reason, HttpHead head) {
-        return new DroppedAnswer(mPeer, mUse, asked, reason, head);
+    synchronized DroppedResponse describeDropped(
+            String asked, DroppedResponse.Reason reason, HttpResponseHead head) {
+        return new DroppedResponse(mPeer, mUse, asked, reason, head);
     }
 }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/ConnectionPool.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/ConnectionPool.java
@@ -24,7 +24,7 @@
      * @param connection the connection
      * @param until the monotonic time in nanoseconds from which the server may close it
      */
-    private record Idle(CallerConnection connection, long until) {
+    private record Idle(ClientConnection connection, long until) {
         boolean isUsable(long now) {
             return connection.isOpen() && now - until < 0;
         }
@@ -50,18 +50,18 @@
      *
      * @param request how the request's answer is told from others
      */
-    synchronized @Nullable CallerConnection take(
+    synchronized @Nullable ClientConnection take(
             InetSocketAddress address, Correlation request, long now) {
-        Lane lane = new Lane(address, request.lane());
+        Lane lane = new Lane(address, request.poolKey());
         Deque<Idle> all = mIdle.getOrDefault(lane, new ArrayDeque<>());
         Iterator<Idle> idle = all.iterator();
         while (idle.hasNext()) {
             Idle candidate = idle.next();
-            CallerConnection connection = candidate.connection();
+            ClientConnection connection = candidate.connection();
             if (!candidate.isUsable(now)) {
                 idle.remove();
                 connection.close();
-            } else if (!connection.mayHaveCarried(request.id())) {
+            } else if (!connection.mayHaveSent(request.id())) {
                 idle.remove();
                 return connection;
             }
@@ -81,9 +81,9 @@
     synchronized void put(
             InetSocketAddress address,
             Correlation request,
-            CallerConnection connection,
+            ClientConnection connection,
             long until) {
-        Lane lane = new Lane(address, request.lane());
+        Lane lane = new Lane(address, request.poolKey());
         Deque<Idle> idle = mIdle.computeIfAbsent(lane, ignored -> new ArrayDeque<>());
         idle.addFirst(new Idle(connection, until));
         if (idle.size() > MAX_IDLE_PER_LANE) {
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/Correlation.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/Correlation.java
@@ -13,7 +13,7 @@
  */
 public interface Correlation {
     /** Whose answer it is that a head begins. */
-    enum Owner {
+    enum Match {
         /** The answer to the request. */
         OWN,
         /** The answer to a request with another id. */
@@ -23,8 +23,8 @@
     }
 
     /** Returns whose answer a head begins. */
-    default Owner owner(HttpHead head) {
-        return Owner.OWN;
+    default Match match(HttpResponseHead head) {
+        return Match.OWN;
     }
 
     /**
@@ -41,7 +41,7 @@
     }
 
     /** Returns the name of the requests that may share a connection with this one. */
-    default String lane() {
+    default String poolKey() {
         return "";
     }
 
@@ -68,7 +68,7 @@
      * @param kind what is asked; connections are shared with requests of this kind only
      */
     static Correlation byKind(String kind) {
-        return new StateCorrelation(kind);
+        return new RequestKindCorrelation(kind);
     }
 
     /** Returns a correlation for a request that its answer does not name. */
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/DroppedAnswer.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/DroppedResponse.java
@@ -11,8 +11,12 @@
  * @param reason why no request may take it
  * @param head the head of the answer; of status zero where it was not read
  */
-public record DroppedAnswer(
-        InetSocketAddress peer, ConnectionUse use, String asked, Reason reason, HttpHead head) {
+public record DroppedResponse(
+        InetSocketAddress peer,
+        ConnectionUse connectionUse,
+        String awaitedId,
+        Reason reason,
+        HttpResponseHead head) {
     /** Why no request may take an answer. */
     public enum Reason {
         /** It names another request. */
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/AnswerObserver.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/DroppedResponseListener.java
@@ -1,12 +1,12 @@
 package org.ebonyrun.ports.http;
 
 /** Hears of answers that no request may take. Called on I/O threads; must not block. */
-public interface AnswerObserver {
+public interface DroppedResponseListener {
     /** Called for each answer that is dropped. */
-    void onDropped(DroppedAnswer answer);
+    void onDroppedResponse(DroppedResponse answer);
 
     /** Returns an observer that ignores them. */
-    static AnswerObserver none() {
+    static DroppedResponseListener none() {
         return answer -> {};
     }
 }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/ExchangeFilter.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/ExchangeFilter.java
@@ -3,7 +3,7 @@
 import java.io.EOFException;
 import java.io.IOException;
 import java.util.regex.Pattern;
-import org.ebonyrun.ports.http.DroppedAnswer.Reason;
+import org.ebonyrun.ports.http.DroppedResponse.Reason;
 import org.glassfish.grizzly.Buffer;
 import org.glassfish.grizzly.CloseReason;
 import org.glassfish.grizzly.Connection;
@@ -18,16 +18,16 @@
 /**
  * Hands the pieces of a response to the exchange that owns the connection.
  *
- * <p>Thread safe: the only state is in {@link CallerConnection}.
+ * <p>Thread safe: the only state is in {@link ClientConnection}.
  */
 final class ExchangeFilter extends BaseFilter {
     // Without its first character, which the parser may take for the space after a status.
     private static final Pattern STATUS_LINE =
             Pattern.compile("ttp/1\\.[01] +[1-5][0-9]{2}", Pattern.CASE_INSENSITIVE);
 
-    private final AnswerObserver mObserver;
+    private final DroppedResponseListener mObserver;
 
-    ExchangeFilter(AnswerObserver observer) {
+    ExchangeFilter(DroppedResponseListener observer) {
         mObserver = observer;
     }
 
@@ -35,13 +35,13 @@
     public NextAction handleRead(FilterChainContext ctx) throws IOException {
         HttpContent content = ctx.getMessage();
         Connection<?> connection = ctx.getConnection();
-        CallerConnection wrapped = CallerConnection.of(connection);
-        HttpExchange exchange = wrapped == null ? null : wrapped.exchangeOrEnd(mObserver);
+        ClientConnection wrapped = ClientConnection.of(connection);
+        HttpExchange exchange = wrapped == null ? null : wrapped.exchangeOrClose(mObserver);
         if (wrapped == null || exchange == null) {
             return ctx.getStopAction();
         }
         HttpResponsePacket head = (HttpResponsePacket) content.getHttpHeader();
-        if (wrapped.beginsAnswer()) {
+        if (wrapped.markHeadSeen()) {
             if (!wrapped.isUnambiguous() && isJoined(head)) {
                 exchange.fail("protocol: the head of an answer in that of another");
             } else {
@@ -52,7 +52,7 @@
         if (buffer != null && buffer.hasRemaining() && !wrapped.isSkipping()) {
             byte[] data = new byte[buffer.remaining()];
             buffer.get(data);
-            exchange.data(data);
+            exchange.onData(data);
         }
         if (content.isLast()) {
             if (wrapped.isSkipping()) {
@@ -82,23 +82,26 @@
     }
 
     /** Passes a head on if it begins the answer to the exchange's own request. */
-    private void beginAnswer(CallerConnection connection, HttpExchange exchange, HttpHead head) {
+    private void beginAnswer(
+            ClientConnection connection, HttpExchange exchange, HttpResponseHead head) {
         String asked = exchange.correlation().id();
-        switch (exchange.correlation().owner(head)) {
-            case OWN -> exchange.head(head);
+        switch (exchange.correlation().match(head)) {
+            case OWN -> exchange.onHead(head);
             case OTHER -> {
-                boolean waits = connection.skipAnswer();
-                mObserver.onDropped(connection.dropped(asked, Reason.OTHER_REQUEST, head));
+                boolean waits = connection.skipResponse();
+                mObserver.onDroppedResponse(
+                        connection.describeDropped(asked, Reason.OTHER_REQUEST, head));
                 if (!waits) {
                     exchange.fail("too many answers to other requests");
                 }
             }
             case UNNAMED -> {
                 if (connection.isUnambiguous()) {
-                    connection.distrust();
-                    exchange.head(head);
+                    connection.markAmbiguous();
+                    exchange.onHead(head);
                 } else {
-                    mObserver.onDropped(connection.dropped(asked, Reason.UNNAMED, head));
+                    mObserver.onDroppedResponse(
+                            connection.describeDropped(asked, Reason.UNNAMED, head));
                     exchange.fail("the answer names no request");
                 }
             }
@@ -108,22 +111,22 @@
 
     /** Goes on to the next answer, which may be that to the exchange's own request. */
     private static void endOfSkipped(
-            CallerConnection connection, HttpExchange exchange, HttpResponsePacket head) {
+            ClientConnection connection, HttpExchange exchange, HttpResponsePacket head) {
         boolean ends = isFramed(head) || !head.isExpectContent();
         if (ends && head.getProcessingState().isKeepAlive()) {
-            connection.endSkipped();
+            connection.finishSkippedResponse();
         } else {
             exchange.fail("the connection ended with the answer to another request");
         }
     }
 
-    private static HttpHead head(HttpResponsePacket packet) {
+    private static HttpResponseHead head(HttpResponsePacket packet) {
         HttpHeaders.Builder headers = HttpHeaders.builder();
         MimeHeaders raw = packet.getHeaders();
         for (int i = 0; i < raw.size(); i++) {
             headers.add(raw.getName(i).toString(), raw.getValue(i).toString());
         }
-        return new HttpHead(packet.getStatus(), headers.build(), isFramed(packet));
+        return new HttpResponseHead(packet.getStatus(), headers.build(), isFramed(packet));
     }
 
     private static boolean isFramed(HttpResponsePacket packet) {
@@ -140,7 +143,7 @@
             exchange.fail("connection reset in a body without length");
             return;
         }
-        exchange.end(isFramed(head) && head.getProcessingState().isKeepAlive());
+        exchange.complete(isFramed(head) && head.getProcessingState().isKeepAlive());
     }
 
     private static boolean isOrderlyClose(Connection<?> connection) {
@@ -150,7 +153,7 @@
 
     @Override
     public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
-        HttpExchange exchange = CallerConnection.exchangeOn(ctx.getConnection());
+        HttpExchange exchange = ClientConnection.exchangeOn(ctx.getConnection());
         if (exchange != null) {
             exchange.fail("protocol: " + error.getMessage());
         }
@@ -159,7 +162,7 @@
 
     @Override
     public NextAction handleClose(FilterChainContext ctx) throws IOException {
-        HttpExchange exchange = CallerConnection.exchangeOn(ctx.getConnection());
+        HttpExchange exchange = ClientConnection.exchangeOn(ctx.getConnection());
         if (exchange != null) {
             exchange.fail("connection closed");
         }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontConnection.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontConnection.java
@@ -42,28 +42,28 @@
     }
 
     /** Returns whether what arrives from now on is dropped. */
-    synchronized boolean isEnded() {
+    synchronized boolean ignoresInput() {
         return mEnded;
     }
 
     /** Returns whether a response is owed to a request that was read. */
-    synchronized boolean isOwing() {
+    synchronized boolean hasPendingResponse() {
         return mCurrent != null;
     }
 
     /** Notes that bytes arrived. */
-    synchronized void onBytes(long now) {
+    synchronized void onBytesReceived(long now) {
         mActiveAt = now;
         if (mReading == null && mCurrent == null && mHeaderSince == 0) {
             mHeaderSince = now;
         }
     }
 
-    synchronized @Nullable BodyBuffer reading() {
+    synchronized @Nullable BodyBuffer pendingBody() {
         return mReading;
     }
 
-    synchronized void setReading(@Nullable BodyBuffer reading) {
+    synchronized void setPendingBody(@Nullable BodyBuffer reading) {
         mReading = reading;
         mHeaderSince = 0;
     }
@@ -93,13 +93,13 @@
 
     private void start(FrontExchange exchange) {
         if (exchange.isRefused()) {
-            exchange.refuse();
+            exchange.sendRefusal();
         } else {
             mListener.onRequest(exchange);
         }
     }
 
-    void onResponded(boolean last) {
+    void onResponseSent(boolean last) {
         FrontExchange next;
         synchronized (this) {
             mActiveAt = System.nanoTime();
@@ -131,7 +131,7 @@
     }
 
     /** Closes the connection if it is idle or its headers take too long. */
-    void sweep(long now, long idleNanos, long headerNanos) {
+    void closeIfExpired(long now, long idleNanos, long headerNanos) {
         boolean expired;
         synchronized (this) {
             boolean idle = mCurrent == null && now - mActiveAt > idleNanos;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontExchange.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontExchange.java
@@ -69,7 +69,7 @@
     }
 
     /** Sends the refusal. */
-    void refuse() {
+    void sendRefusal() {
         respond(mRefusal, HttpHeaders.empty(), NOTHING);
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** Makes this the last response on its connection. */
-    public synchronized void closeAfter() {
+    public synchronized void closeAfterResponse() {
         mClosing = true;
     }
 
@@ -238,7 +238,7 @@
                             @Override
                             public void completed(WriteResult<HttpContent, SocketAddress> result) {
                                 if (last) {
-                                    mConnection.onResponded(isLast());
+                                    mConnection.onResponseSent(isLast());
                                 }
                             }
 
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontServer.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontServer.java
@@ -77,11 +77,11 @@
     }
 
     /** Closes connections that are idle or slow for too long. To be called now and then. */
-    public void sweep(long now) {
+    public void closeExpiredConnections(long now) {
         FrontLimits limits = mLimits.get();
-        long idle = Nanos.ofMillis(limits.idleMillis());
-        long header = Nanos.ofMillis(limits.headerMillis());
-        mConnections.values().forEach(connection -> connection.sweep(now, idle, header));
+        long idle = Nanos.ofMillis(limits.idleTimeoutMillis());
+        long header = Nanos.ofMillis(limits.headerTimeoutMillis());
+        mConnections.values().forEach(connection -> connection.closeIfExpired(now, idle, header));
     }
 
     /** Lets each connection end with its next response, and closes those that stay quiet. */
@@ -104,7 +104,7 @@
     }
 
     /** Returns how many connections have a request that is read or answered now. */
-    public int busy() {
+    public int busyConnectionCount() {
         return (int) mConnections.values().stream().filter(FrontConnection::isBusy).count();
     }
 
@@ -126,7 +126,7 @@
                 ctx.getConnection().closeSilently();
                 return ctx.getStopAction();
             }
-            of(ctx.getConnection()).onBytes(System.nanoTime());
+            of(ctx.getConnection()).onBytesReceived(System.nanoTime());
             return ctx.getInvokeAction();
         }
 
@@ -183,19 +183,19 @@
             HttpContent content = ctx.getMessage();
             HttpRequestPacket packet = (HttpRequestPacket) content.getHttpHeader();
             FrontConnection connection = of(ctx.getConnection());
-            if (connection.isEnded() || HttpContent.isBroken(content)) {
+            if (connection.ignoresInput() || HttpContent.isBroken(content)) {
                 return ctx.getStopAction();
             }
             FrontLimits limits = mLimits.get();
-            BodyBuffer body = connection.reading();
+            BodyBuffer body = connection.pendingBody();
             if (body == null) {
-                if (!RequestFraming.isSound(packet)) {
+                if (!RequestFraming.isUnambiguous(packet)) {
                     refuse(packet, connection, BAD_REQUEST);
                     return ctx.getStopAction();
                 }
-                body = new BodyBuffer(limits.bodyBytes());
-                connection.setReading(body);
-                if (!connection.isOwing()) {
+                body = new BodyBuffer(limits.maxBodyBytes());
+                connection.setPendingBody(body);
+                if (!connection.hasPendingResponse()) {
                     // Otherwise it would stand in the midst of the answer before it; the caller
                     // sends its body after a while without it.
                     acknowledge(ctx, packet);
@@ -206,7 +206,7 @@
                 body.add(buffer);
             }
             if (content.isLast() || body.isTooLarge()) {
-                connection.setReading(null);
+                connection.setPendingBody(null);
                 end(connection, packet, body, limits);
             }
             return ctx.getStopAction();
@@ -233,7 +233,7 @@
             if (body.isTooLarge()) {
                 return 413;
             }
-            if (headerBytes(packet, headers) > limits.headerBytes()) {
+            if (headerBytes(packet, headers) > limits.maxHeaderBytes()) {
                 return 431;
             }
             return 0;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HeaderCorrelation.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HeaderCorrelation.java
@@ -10,16 +10,16 @@
  */
 record HeaderCorrelation(String header, String id) implements Correlation {
     @Override
-    public Owner owner(HttpHead head) {
+    public Match match(HttpResponseHead head) {
         Optional<String> named = head.headers().first(header);
         if (named.isEmpty()) {
-            return Owner.UNNAMED;
+            return Match.UNNAMED;
         }
-        return named.get().equals(id) ? Owner.OWN : Owner.OTHER;
+        return named.get().equals(id) ? Match.OWN : Match.OTHER;
     }
 
     @Override
-    public String lane() {
+    public String poolKey() {
         return header;
     }
 }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpExchange.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpExchange.java
@@ -24,10 +24,10 @@
     // Part of a server's announced idle time that this side uses; the rest covers time in transit.
     private static final double IDLE_SHARE = 0.7;
 
-    private final HttpCall mCall;
-    private final HttpListener mListener;
+    private final HttpRequest mCall;
+    private final HttpResponseListener mListener;
     private final ConnectionPool mPool;
-    private @Nullable CallerConnection mConnection;
+    private @Nullable ClientConnection mConnection;
     private ConnectionUse mUse = ConnectionUse.NONE;
     private @Nullable ScheduledFuture<?> mTimeout;
     private @Nullable ScheduledFuture<?> mConnectTimeout;
@@ -35,7 +35,7 @@
     private boolean mSent;
     private boolean mDone;
 
-    HttpExchange(HttpCall call, HttpListener listener, ConnectionPool pool) {
+    HttpExchange(HttpRequest call, HttpResponseListener listener, ConnectionPool pool) {
         mCall = call;
         mListener = listener;
         mPool = pool;
@@ -61,8 +61,8 @@
     }
 
     /** Fails the exchange unless its connection is open by now. */
-    void failConnect() {
-        fail("connect: timeout after " + HttpCaller.CONNECT_TIMEOUT_MILLIS + " ms", true);
+    void failIfNotConnected() {
+        fail("connect: timeout after " + AsyncHttpClient.CONNECT_TIMEOUT_MILLIS + " ms", true);
     }
 
     /** Returns which connection carries the exchange. */
@@ -85,7 +85,7 @@
      *
      * @return false if the connection had ended before anything was written
      */
-    boolean begin(CallerConnection connection) {
+    boolean trySend(ClientConnection connection) {
         long now = System.nanoTime();
         synchronized (this) {
             if (mDone) {
@@ -120,7 +120,7 @@
         return (Writeable<SocketAddress>) connection;
     }
 
-    void head(HttpHead head) {
+    void onHead(HttpResponseHead head) {
         if (!isDone()) {
             long seconds = keepAliveSeconds(head);
             if (seconds >= 0) {
@@ -130,7 +130,7 @@
         }
     }
 
-    private static long keepAliveSeconds(HttpHead head) {
+    private static long keepAliveSeconds(HttpResponseHead head) {
         String text = head.headers().first("Keep-Alive").orElse("");
         int begin = text.indexOf("timeout=");
         if (begin < 0) {
@@ -144,18 +144,18 @@
         return end == 0 || end > 9 ? -1 : Long.parseLong(rest.substring(0, end));
     }
 
-    void data(byte[] data) {
+    void onData(byte[] data) {
         if (!isDone()) {
             mListener.onData(data);
         }
     }
 
     /** Ends the exchange normally and gives the connection back. */
-    void end(boolean keepAlive) {
+    void complete(boolean keepAlive) {
         if (!finish()) {
             return;
         }
-        CallerConnection connection = mConnection;
+        ClientConnection connection = mConnection;
         if (connection != null) {
             long now = System.nanoTime();
             connection.unbind(now);
@@ -168,7 +168,7 @@
         mListener.onEnd();
     }
 
-    private void giveBack(CallerConnection connection, long until) {
+    private void giveBack(ClientConnection connection, long until) {
         if (mCall.sharesConnection()) {
             mPool.put(mCall.address(), correlation(), connection, until);
         } else {
@@ -190,7 +190,7 @@
                 return;
             }
         }
-        CallerConnection connection = mConnection;
+        ClientConnection connection = mConnection;
         if (connection != null) {
             connection.abandon();
         }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpHeaders.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpHeaders.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns the first value of a header as a number, or {@code fallback} if it is none. */
-    public long number(String name, long fallback) {
+    public long firstLong(String name, long fallback) {
         Optional<String> text = first(name);
         if (text.isEmpty()) {
             return fallback;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpCall.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpRequest.java
@@ -20,7 +20,7 @@
  *     limit but that of the connection
  * @param correlation how the answer is told from others on its connection
  */
-public record HttpCall(
+public record HttpRequest(
         String method,
         InetSocketAddress address,
         String target,
@@ -32,7 +32,7 @@
     private static final HttpHeaders JSON = HttpHeaders.of("Content-Type", "application/json");
 
     /** Creates a request to a peer that answers each request once, in order. */
-    public HttpCall(
+    public HttpRequest(
             String method,
             InetSocketAddress address,
             String target,
@@ -43,7 +43,7 @@
     }
 
     /** Checks the target. */
-    public HttpCall {
+    public HttpRequest {
         checkArgument(target.startsWith("/"), "target has no path: '%s'", target);
     }
 
@@ -52,7 +52,7 @@
      *
      * @throws IllegalArgumentException if the URI has no host
      */
-    public static HttpCall to(
+    public static HttpRequest to(
             String method, URI uri, Map<String, String> headers, byte[] body, long timeoutMillis) {
         checkArgument(uri.getHost() != null, "uri has no host: %s", uri);
         int port = uri.getPort() < 0 ? DEFAULT_PORT : uri.getPort();
@@ -61,39 +61,39 @@
         HttpHeaders.Builder all = HttpHeaders.builder();
         headers.forEach(all::add);
         InetSocketAddress address = new InetSocketAddress(uri.getHost(), port);
-        return new HttpCall(method, address, target, all.build(), body, timeoutMillis);
+        return new HttpRequest(method, address, target, all.build(), body, timeoutMillis);
     }
 
     /** Creates a request with a JSON body. */
-    public static HttpCall json(String method, URI uri, byte[] body, long timeoutMillis) {
+    public static HttpRequest json(String method, URI uri, byte[] body, long timeoutMillis) {
         return to(method, uri, Map.of("Content-Type", "application/json"), body, timeoutMillis);
     }
 
     /** Creates a request with a JSON body. */
-    public static HttpCall json(
+    public static HttpRequest json(
             String method,
             InetSocketAddress address,
             String target,
             byte[] body,
             long timeoutMillis) {
-        return new HttpCall(method, address, target, JSON, body, timeoutMillis);
+        return new HttpRequest(method, address, target, JSON, body, timeoutMillis);
     }
 
     /** Creates a request without a body. */
-    public static HttpCall of(String method, URI uri, long timeoutMillis) {
+    public static HttpRequest of(String method, URI uri, long timeoutMillis) {
         return to(method, uri, Map.of(), new byte[0], timeoutMillis);
     }
 
     /** Creates a request without a body. */
-    public static HttpCall of(
+    public static HttpRequest of(
             String method, InetSocketAddress address, String target, long timeoutMillis) {
-        return new HttpCall(
+        return new HttpRequest(
                 method, address, target, HttpHeaders.empty(), new byte[0], timeoutMillis);
     }
 
     /** Returns this request with another way to tell its answer from others. */
-    public HttpCall correlated(Correlation by) {
-        return new HttpCall(method, address, target, headers, body, timeoutMillis, by);
+    public HttpRequest withCorrelation(Correlation by) {
+        return new HttpRequest(method, address, target, headers, body, timeoutMillis, by);
     }
 
     /**
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpReply.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpResponse.java
@@ -8,7 +8,7 @@
  * @param status the status code
  * @param body the body
  */
-public record HttpReply(int status, byte[] body) {
+public record HttpResponse(int status, byte[] body) {
     /** Returns the body as UTF-8 text. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpHead.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpResponseHead.java
@@ -8,7 +8,7 @@
  * @param framed whether the message states its own end, by a length or in chunks; otherwise it ends
  *     with its connection
  */
-public record HttpHead(int status, HttpHeaders headers, boolean framed) {
+public record HttpResponseHead(int status, HttpHeaders headers, boolean framed) {
     /** Returns whether the status is 2xx. */
     public boolean isSuccess() {
         return status / 100 == 2;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpListener.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpResponseListener.java
@@ -1,9 +1,9 @@
 package org.ebonyrun.ports.http;
 
 /** Receives one HTTP response. Called on I/O threads, in order; must not block. */
-public interface HttpListener {
+public interface HttpResponseListener {
     /** Called when the status line and headers have arrived. */
-    void onHead(HttpHead head);
+    void onHead(HttpResponseHead head);
 
     /** Called for each piece of the body. */
     void onData(byte[] data);
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/AnswerParser.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpResponseParser.java
@@ -18,21 +18,21 @@
  *
  * <p>Thread safe: the only state is in connection attributes.
  */
-final class AnswerParser extends HttpClientFilter {
-    private final AnswerObserver mObserver;
+final class HttpResponseParser extends HttpClientFilter {
+    private final DroppedResponseListener mObserver;
 
-    AnswerParser(AnswerObserver observer) {
+    HttpResponseParser(DroppedResponseListener observer) {
         mObserver = observer;
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) throws IOException {
-        CallerConnection connection = CallerConnection.of(ctx.getConnection());
+        ClientConnection connection = ClientConnection.of(ctx.getConnection());
         if (connection == null) {
             ctx.getConnection().closeSilently();
             return ctx.getStopAction();
         }
-        return connection.exchangeOrEnd(mObserver) == null
+        return connection.exchangeOrClose(mObserver) == null
                 ? ctx.getStopAction()
                 : super.handleRead(ctx);
     }
@@ -48,7 +48,7 @@
 
     /** Returns a request on which only the framing of its answer depends. */
     private static HttpRequestPacket request(FilterChainContext ctx) {
-        HttpExchange exchange = CallerConnection.exchangeOn(ctx.getConnection());
+        HttpExchange exchange = ClientConnection.exchangeOn(ctx.getConnection());
         return HttpRequestPacket.builder()
                 .method(exchange == null ? "GET" : exchange.method())
                 .uri("/")
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpListenerSettings.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpServerSettings.java
@@ -8,4 +8,4 @@
  * @param port the port; zero lets the system choose
  * @param workers the number of threads that parse requests
  */
-public record HttpListenerSettings(String name, String host, int port, int workers) {}
+public record HttpServerSettings(String name, String host, int port, int workers) {}
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpServers.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpServers.java
@@ -23,7 +23,7 @@
      *
      * @param handlers handlers by path pattern, for example {@code /v1/*}
      */
-    public static HttpServer start(HttpListenerSettings settings, Map<String, HttpHandler> handlers)
+    public static HttpServer start(HttpServerSettings settings, Map<String, HttpHandler> handlers)
             throws IOException {
         Logger.getLogger("org.glassfish.grizzly").setLevel(Level.WARNING);
         HttpServer server = new HttpServer();
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/LineCutter.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/LineSplitter.java
@@ -9,13 +9,13 @@
  *
  * <p>Not thread safe; used by one stream.
  */
-final class LineCutter {
+final class LineSplitter {
     private static final int MAX_LINE_BYTES = 1 << 20;
 
     private final Consumer<String> mSink;
     private final ByteArrayOutputStream mLine = new ByteArrayOutputStream();
 
-    LineCutter(Consumer<String> sink) {
+    LineSplitter(Consumer<String> sink) {
         mSink = sink;
     }
 
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/RequestFraming.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/RequestFraming.java
@@ -24,7 +24,7 @@
     private RequestFraming() {}
 
     /** Returns whether a request, whose head is read, has one possible end only. */
-    static boolean isSound(HttpRequestPacket packet) {
+    static boolean isUnambiguous(HttpRequestPacket packet) {
         Protocol protocol = packet.getProtocol();
         if (protocol != Protocol.HTTP_1_1 && protocol != Protocol.HTTP_1_0) {
             return false;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/CarriedIds.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/RequestIdFingerprints.java
@@ -10,7 +10,7 @@
  *
  * <p>Not thread safe.
  */
-final class CarriedIds {
+final class RequestIdFingerprints {
     private static final int FINGERPRINT_BITS = 12;
     // Keeps wrong claims below one in eight.
     private static final int MAX_IDS = (1 << FINGERPRINT_BITS) / 8;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/StateCorrelation.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/RequestKindCorrelation.java
@@ -5,4 +5,4 @@
  *
  * @param lane what is asked
  */
-record StateCorrelation(String lane) implements Correlation {}
+record RequestKindCorrelation(String lane) implements Correlation {}
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/Responder.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/Responder.java
@@ -30,7 +30,7 @@
     }
 
     /** Sends a whole response; does nothing if one was begun. */
-    public synchronized void whole(int status, String contentType, byte[] body) {
+    public synchronized void sendWhole(int status, String contentType, byte[] body) {
         if (mStarted || mEnded) {
             return;
         }
@@ -44,7 +44,7 @@
     }
 
     /** Sets a header; has no effect once the response was begun. */
-    public synchronized void header(String name, String value) {
+    public synchronized void setHeader(String name, String value) {
         if (!mStarted) {
             mResponse.setHeader(name, value);
         }
@@ -65,7 +65,7 @@
     }
 
     /** Sends a part of the body; returns false if the caller is gone or too slow. */
-    public synchronized boolean part(String text) {
+    public synchronized boolean sendPart(String text) {
         if (mEnded || !mOut.canWrite()) {
             abort();
             return false;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/SseParser.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/SseDataParser.java
@@ -8,19 +8,19 @@
  * <p>Not thread safe; used by one stream. A line above the limit makes the stream invalid, and
  * {@link #feed} says so.
  */
-public final class SseParser {
+public final class SseDataParser {
     private static final String DATA = "data:";
 
     private final Consumer<String> mSink;
-    private final LineCutter mLines = new LineCutter(this::onLine);
+    private final LineSplitter mLines = new LineSplitter(this::onLine);
 
-    private SseParser(Consumer<String> sink) {
+    private SseDataParser(Consumer<String> sink) {
         mSink = sink;
     }
 
     /** Creates a parser that gives the data of each event to {@code sink}. */
-    public static SseParser create(Consumer<String> sink) {
-        return new SseParser(sink);
+    public static SseDataParser create(Consumer<String> sink) {
+        return new SseDataParser(sink);
     }
 
     /** Consumes bytes of the stream; returns false once a line is longer than one mebibyte. */
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/SseEventParser.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/SseEventParser.java
@@ -14,7 +14,7 @@
     private static final int MAX_NUMBER_DIGITS = 9;
 
     private final Consumer<SseEvent> mSink;
-    private final LineCutter mLines = new LineCutter(this::onLine);
+    private final LineSplitter mLines = new LineSplitter(this::onLine);
     private final StringBuilder mData = new StringBuilder();
     private final Map<String, String> mFields = new HashMap<>();
     private long mId = -1;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/CircuitBreaker.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/CircuitBreaker.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns whether a call may be made now; one that may is expected to report its end. */
-    public boolean tryCall(long now) {
+    public boolean tryAcquire(long now) {
         if (!isOpen()) {
             return true;
         }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/HttpKeyValueStore.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/HttpKeyValueStore.java
@@ -16,9 +16,9 @@
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.base.result.FaultCode;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 
 /**
  * Talks to a key-value service over HTTP and JSON.
@@ -29,16 +29,16 @@
     private static final long TIMEOUT_MILLIS = 2_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final URI mBase;
 
-    private HttpKeyValueStore(HttpCaller caller, URI base) {
+    private HttpKeyValueStore(AsyncHttpClient caller, URI base) {
         mCaller = caller;
         mBase = base;
     }
 
     /** Creates an adapter to the service at {@code base}. */
-    public static HttpKeyValueStore create(HttpCaller caller, URI base) {
+    public static HttpKeyValueStore create(AsyncHttpClient caller, URI base) {
         return new HttpKeyValueStore(caller, base);
     }
 
@@ -98,15 +98,16 @@
             String target,
             String body,
             long timeoutMillis,
-            Function<HttpReply, T> decode) {
+            Function<HttpResponse, T> decode) {
         URI uri = URI.create(mBase + target);
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         String step = "key-value." + method;
-        return mCaller.request(HttpCall.json(method, uri, bytes, timeoutMillis), step)
+        return mCaller.request(HttpRequest.json(method, uri, bytes, timeoutMillis), step)
                 .thenApply(result -> result.flatMap(reply -> decode(reply, step, decode)));
     }
 
-    private <T> Result<T> decode(HttpReply reply, String step, Function<HttpReply, T> decode) {
+    private <T> Result<T> decode(
+            HttpResponse reply, String step, Function<HttpResponse, T> decode) {
         String peer = mBase.getAuthority();
         try {
             if (reply.isSuccess() || reply.status() == 404 || reply.status() == 409) {
@@ -120,11 +121,11 @@
         }
     }
 
-    private static Optional<KeyValueEntry> optionalEntry(HttpReply reply) {
+    private static Optional<KeyValueEntry> optionalEntry(HttpResponse reply) {
         return reply.status() == 404 ? Optional.empty() : Optional.of(entry(parse(reply)));
     }
 
-    private static WriteOutcome outcome(HttpReply reply) {
+    private static WriteOutcome outcome(HttpResponse reply) {
         return new WriteOutcome(reply.isSuccess(), parse(reply).path("revision").asLong());
     }
 
@@ -133,7 +134,7 @@
         return new KeyValueEntry(node.get("key").asText(), value, node.get("revision").asLong());
     }
 
-    private static JsonNode parse(HttpReply reply) {
+    private static JsonNode parse(HttpResponse reply) {
         try {
             return JSON.readTree(reply.body());
         } catch (JsonProcessingException e) {
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/KeyValueStore.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/KeyValueStore.java
@@ -17,7 +17,7 @@
     long ABSENT = 0;
 
     /** Time to live of a key that does not expire. */
-    long FOREVER_MILLIS = 0;
+    long NO_EXPIRY_MILLIS = 0;
 
     /** Reads a key. */
     CompletableFuture<Result<Optional<KeyValueEntry>>> get(String key);
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/GuardedStore.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/ResilientKeyValueStore.java
@@ -18,7 +18,7 @@
  *
  * <p>Thread safe: the circuit and the budget are guarded by this object's monitor.
  */
-public final class GuardedStore implements KeyValueStore {
+public final class ResilientKeyValueStore implements KeyValueStore {
     private static final double CALLS_PER_SECOND = 50;
     private static final double BURST = 200;
     private static final long RETRY_MILLIS = 500;
@@ -26,18 +26,19 @@
     private final KeyValueStore mStore;
     private final MonotonicClock mClock;
     private final CircuitBreaker mCircuit;
-    private final CallBudget mBudget = CallBudget.create(CALLS_PER_SECOND, BURST);
+    private final TokenBucket mBudget = TokenBucket.create(CALLS_PER_SECOND, BURST);
 
-    private GuardedStore(KeyValueStore store, MonotonicClock clock, RandomGenerator random) {
+    private ResilientKeyValueStore(
+            KeyValueStore store, MonotonicClock clock, RandomGenerator random) {
         mStore = store;
         mClock = clock;
         mCircuit = CircuitBreaker.create(random);
     }
 
     /** Creates a guard in front of a store. */
-    public static GuardedStore create(
+    public static ResilientKeyValueStore create(
             KeyValueStore store, MonotonicClock clock, RandomGenerator random) {
-        return new GuardedStore(store, clock, random);
+        return new ResilientKeyValueStore(store, clock, random);
     }
 
     @Override
@@ -83,10 +84,10 @@
 
     private synchronized String refusal() {
         long now = mClock.nanoTime();
-        if (!mCircuit.tryCall(now)) {
+        if (!mCircuit.tryAcquire(now)) {
             return "the service does not answer; its circuit is open";
         }
-        return mBudget.tryTake(now) ? "" : "the process has used up its calls";
+        return mBudget.tryAcquire(now) ? "" : "the process has used up its calls";
     }
 
     private synchronized void onEnd(boolean answered) {
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/CallBudget.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/TokenBucket.java
@@ -10,13 +10,13 @@
  *
  * <p>Not thread safe; its owner guards it.
  */
-public final class CallBudget {
+public final class TokenBucket {
     private final double mPerSecond;
     private final double mBurst;
     private double mTokens;
     private long mUpdated;
 
-    private CallBudget(double perSecond, double burst) {
+    private TokenBucket(double perSecond, double burst) {
         checkArgument(perSecond > 0, "rate is not positive: %s", perSecond);
         checkArgument(burst >= 1, "burst is below one: %s", burst);
         mPerSecond = perSecond;
@@ -30,12 +30,12 @@
      * @param perSecond calls that are earned in a second
      * @param burst the greatest number of calls that can be saved up
      */
-    public static CallBudget create(double perSecond, double burst) {
-        return new CallBudget(perSecond, burst);
+    public static TokenBucket create(double perSecond, double burst) {
+        return new TokenBucket(perSecond, burst);
     }
 
     /** Takes one call from the budget; returns false if there is none. */
-    public boolean tryTake(long now) {
+    public boolean tryAcquire(long now) {
         double earned = (now - mUpdated) * mPerSecond / Nanos.PER_SECOND;
         mTokens = Math.min(mBurst, mTokens + Math.max(0, earned));
         mUpdated = now;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/store/Commit.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/store/CommitResult.java
@@ -9,9 +9,9 @@
  * @param revision the revision of the writes; zero unless committed
  * @param current the expected keys as they are, those that exist; empty unless in conflict
  */
-public record Commit(CommitOutcome outcome, long revision, List<StoreItem> current) {
+public record CommitResult(CommitOutcome outcome, long revision, List<StoreItem> current) {
     /** Copies the items. */
-    public Commit {
+    public CommitResult {
         current = List.copyOf(current);
     }
 
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/store/SharedStore.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/store/SharedStore.java
@@ -32,7 +32,7 @@
             String prefix, long afterRevision, long waitMillis);
 
     /** Commits a transaction. */
-    CompletableFuture<Result<Commit>> commit(Transaction transaction);
+    CompletableFuture<Result<CommitResult>> commit(Transaction transaction);
 
     /** Grants a lease. */
     CompletableFuture<Result<StoreLease>> grant(long ttlMillis);
@@ -41,5 +41,5 @@
     CompletableFuture<Result<Boolean>> renew(long lease);
 
     /** Ends a lease and removes its keys. */
-    CompletableFuture<Result<Boolean>> end(long lease);
+    CompletableFuture<Result<Boolean>> revoke(long lease);
 }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/store/StoreChanges.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/store/StoreChanges.java
@@ -9,14 +9,14 @@
  * @param revision the revision from which the next watch continues
  * @param historyGone whether the store no longer knows the changes; the keys must be read again
  */
-public record StoreChanges(List<StoreChange> changes, long revision, boolean historyGone) {
+public record StoreChanges(List<StoreChange> changes, long revision, boolean historyCompacted) {
     /** Copies the changes. */
     public StoreChanges {
         changes = List.copyOf(changes);
     }
 
     /** Returns the answer of a store that no longer knows what changed. */
-    public static StoreChanges gone() {
+    public static StoreChanges ofCompactedHistory() {
         return new StoreChanges(List.of(), 0, true);
     }
 }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/vm/HttpVmDirectory.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/vm/HttpVmDirectory.java
@@ -10,9 +10,9 @@
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.base.result.FaultCode;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 
 /** Reads the list of VMs over HTTP and JSON. Thread safe. */
 public final class HttpVmDirectory implements VmDirectory {
@@ -20,27 +20,27 @@
     private static final ObjectMapper JSON =
             new ObjectMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
 
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final URI mBase;
 
-    private HttpVmDirectory(HttpCaller caller, URI base) {
+    private HttpVmDirectory(AsyncHttpClient caller, URI base) {
         mCaller = caller;
         mBase = base;
     }
 
     /** Creates an adapter to the list at {@code base}. */
-    public static HttpVmDirectory create(HttpCaller caller, URI base) {
+    public static HttpVmDirectory create(AsyncHttpClient caller, URI base) {
         return new HttpVmDirectory(caller, base);
     }
 
     @Override
     public CompletableFuture<Result<List<VmRecord>>> list() {
-        HttpCall call = HttpCall.of("GET", URI.create(mBase + "/vms"), TIMEOUT_MILLIS);
+        HttpRequest call = HttpRequest.of("GET", URI.create(mBase + "/vms"), TIMEOUT_MILLIS);
         return mCaller.request(call, "vm-list.GET")
                 .thenApply(result -> result.flatMap(this::decode));
     }
 
-    private Result<List<VmRecord>> decode(HttpReply reply) {
+    private Result<List<VmRecord>> decode(HttpResponse reply) {
         try {
             return Result.ok(JSON.readValue(reply.body(), new TypeReference<>() {}));
         } catch (IOException | RuntimeException e) {
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/weight/WeightStore.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/weight/WeightStore.java
@@ -10,7 +10,7 @@
  */
 public interface WeightStore {
     /** Returns the newest version of a service's weights; zero when there is none. */
-    CompletableFuture<Result<Long>> latest(ServiceName service);
+    CompletableFuture<Result<Long>> latestVersion(ServiceName service);
 
     /** Returns the address from which an endpoint fetches a version. */
     String source(ServiceName service, long version);
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/HttpCallerTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/AsyncHttpClientTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.ports.http.DroppedAnswer.Reason;
+import org.ebonyrun.ports.http.DroppedResponse.Reason;
 import org.ebonyrun.ports.http.ScriptedServer.Received;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
@@ -21,21 +21,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class HttpCallerTest {
+class AsyncHttpClientTest {
     private static final int TIMEOUT_MILLIS = 20_000;
     private static final String LOST = "lost";
 
-    private final BlockingQueue<DroppedAnswer> mDropped = new LinkedBlockingQueue<>();
+    private final BlockingQueue<DroppedResponse> mDropped = new LinkedBlockingQueue<>();
     private volatile Runnable mWhenDropped = () -> {};
     private TCPNIOTransport mTransport;
-    private HttpCaller mCaller;
+    private AsyncHttpClient mCaller;
     private ScriptedServer mServer;
 
     @BeforeEach
     void start() throws IOException {
         mTransport = TCPNIOTransportBuilder.newInstance().setSelectorRunnersCount(1).build();
         mTransport.start();
-        mCaller = HttpCaller.on(mTransport, this::onDropped);
+        mCaller = AsyncHttpClient.usingTransport(mTransport, this::onDropped);
         mServer = ScriptedServer.start();
     }
 
@@ -46,17 +46,17 @@
         mServer.close();
     }
 
-    private void onDropped(DroppedAnswer answer) {
+    private void onDropped(DroppedResponse answer) {
         mDropped.add(answer);
         mWhenDropped.run();
     }
 
-    private HttpCall call(String method, Correlation correlation) {
+    private HttpRequest call(String method, Correlation correlation) {
         HttpHeaders headers =
                 correlation.id().isEmpty()
                         ? HttpHeaders.empty()
                         : HttpHeaders.of("X-Id", correlation.id());
-        return new HttpCall(
+        return new HttpRequest(
                 method, mServer.address(), "/", headers, new byte[0], TIMEOUT_MILLIS, correlation);
     }
 
@@ -65,15 +65,16 @@
     }
 
     private CompletableFuture<String> send(String method, Correlation correlation) {
-        return mCaller.request(call(method, correlation), "test").thenApply(HttpCallerTest::text);
+        return mCaller.request(call(method, correlation), "test")
+                .thenApply(AsyncHttpClientTest::text);
     }
 
     /** Sends a request whose answer nobody waits for. */
     private HttpExchange cancellable(String id) {
-        HttpListener ignored =
-                new HttpListener() {
+        HttpResponseListener ignored =
+                new HttpResponseListener() {
                     @Override
-                    public void onHead(HttpHead head) {}
+                    public void onHead(HttpResponseHead head) {}
 
                     @Override
                     public void onData(byte[] data) {}
@@ -91,7 +92,7 @@
         return send(Correlation.byHeader("X-Id", id));
     }
 
-    private static String text(Result<HttpReply> result) {
+    private static String text(Result<HttpResponse> result) {
         return result.fold(
                 reply -> reply.status() + " " + reply.text(),
                 fault -> (fault.isNotRun() ? "not sent" : LOST) + ": " + fault.detail());
@@ -106,8 +107,8 @@
         return received;
     }
 
-    private DroppedAnswer dropped() throws InterruptedException {
-        DroppedAnswer dropped = mDropped.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    private DroppedResponse dropped() throws InterruptedException {
+        DroppedResponse dropped = mDropped.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         assertThat("an answer was dropped", dropped != null);
         return dropped;
     }
@@ -130,11 +131,11 @@
 
         assertThat(second.connection(), is(first.connection()));
         assertThat(reply.get(), is("200 to b"));
-        DroppedAnswer dropped = dropped();
-        assertThat(dropped.asked(), is("b"));
+        DroppedResponse dropped = dropped();
+        assertThat(dropped.awaitedId(), is("b"));
         assertThat(dropped.reason(), is(Reason.OTHER_REQUEST));
         assertThat(dropped.head().headers().first("X-Id").orElse(""), is("a"));
-        assertThat(dropped.use().requests(), is(2));
+        assertThat(dropped.connectionUse().requests(), is(2));
     }
 
     @ParameterizedTest
@@ -150,7 +151,7 @@
         exchange("a");
         CompletableFuture<String> reply = send("b");
         Received second = mServer.next();
-        second.connection().write(other + other + ScriptedServer.answer(200, "b"));
+        second.connection().write(other + other + ScriptedServer.response(200, "b"));
 
         assertThat(reply.get(), is("200 to b"));
     }
@@ -183,7 +184,7 @@
         Received first = exchange("a");
         CompletableFuture<String> reply = send("b");
         Received second = mServer.next();
-        String again = ScriptedServer.answer(200, "a");
+        String again = ScriptedServer.response(200, "a");
         second.connection().write(again.substring(0, 20));
         second.connection().write(again.substring(20));
         second.answer("b");
@@ -261,7 +262,7 @@
     void bytesThatCameWithTheOwnAnswerEndTheirConnection() throws Exception {
         CompletableFuture<String> reply = send("a");
         Received first = mServer.next();
-        first.connection().write(ScriptedServer.answer(200, "a") + "HTTP/1.1 2");
+        first.connection().write(ScriptedServer.response(200, "a") + "HTTP/1.1 2");
         first.connection().awaitEnd();
 
         assertThat(reply.get(), is("200 to a"));
@@ -273,7 +274,7 @@
     void anAnswerThatNamesNoRequestIsTakenWhereThereCanBeNoOther() throws Exception {
         CompletableFuture<String> reply = send("a");
         Received first = mServer.next();
-        first.connection().write(ScriptedServer.unnamed(503));
+        first.connection().write(ScriptedServer.responseWithoutId(503));
 
         assertThat(reply.get(), is("503 to nobody"));
         first.connection().awaitEnd();
@@ -284,7 +285,7 @@
     void anAnswerThatNamesNoRequestIsNotTakenWhereItMayBeAnothers() throws Exception {
         Received first = exchange("a");
         CompletableFuture<String> reply = send("b");
-        mServer.next().connection().write(ScriptedServer.unnamed(503));
+        mServer.next().connection().write(ScriptedServer.responseWithoutId(503));
 
         assertThat(reply.get(), containsString(LOST));
         first.connection().awaitEnd();
@@ -296,7 +297,7 @@
         Received first = exchange("a");
         CompletableFuture<String> reply = send(Correlation.byConnection());
         Received unnamed = mServer.next();
-        unnamed.connection().write(ScriptedServer.unnamed(200));
+        unnamed.connection().write(ScriptedServer.responseWithoutId(200));
 
         assertThat(reply.get(), is("200 to nobody"));
         assertThat(unnamed.connection(), is(not(first.connection())));
@@ -308,11 +309,11 @@
         Received named = exchange("a");
         CompletableFuture<String> reply = send(Correlation.byKind("state"));
         Received first = mServer.next();
-        first.connection().write(ScriptedServer.unnamed(200));
+        first.connection().write(ScriptedServer.responseWithoutId(200));
         reply.get();
         CompletableFuture<String> again = send(Correlation.byKind("state"));
         Received second = mServer.next();
-        second.connection().write(ScriptedServer.unnamed(200));
+        second.connection().write(ScriptedServer.responseWithoutId(200));
 
         assertThat(again.get(), is("200 to nobody"));
         assertThat(first.connection(), is(not(named.connection())));
@@ -329,7 +330,7 @@
         HttpExchange cancelled = cancellable("b");
         Received second = mServer.next();
         cancelled.cancel();
-        second.connection().write(ScriptedServer.answer(200, "b"));
+        second.connection().write(ScriptedServer.response(200, "b"));
         second.connection().awaitEnd();
         exchange("c");
 
@@ -353,7 +354,7 @@
         CompletableFuture<String> reply = send("b");
         Received second = mServer.next();
         for (int i = 0; i < 20 && !reply.isDone(); i++) {
-            second.connection().write(ScriptedServer.answer(200, "a"));
+            second.connection().write(ScriptedServer.response(200, "a"));
         }
 
         assertThat(reply.get(), containsString(LOST));
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontConnectionTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontConnectionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What a caller reads on one connection belongs to what it sent, in the same order. */
-class FrontConnectionTest extends FrontFixture {
+class FrontConnectionTest extends FrontServerFixture {
     private static final FrontLimits LIMITS = new FrontLimits(300, 100, 60_000, 60_000);
     private static final String FIRST = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n";
     private static final String LAST = "GET /last HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontFixture.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontServerFixture.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** A front server on loopback whose requests the test answers, and raw callers of it. */
-abstract class FrontFixture {
+abstract class FrontServerFixture {
     private static final int SOCKET_TIMEOUT_MILLIS = 10_000;
 
     final BlockingQueue<FrontExchange> mRequests = new LinkedBlockingQueue<>();
@@ -29,7 +29,7 @@
     private TCPNIOTransport mTransport;
     private InetSocketAddress mAddress;
 
-    FrontFixture(FrontLimits limits) {
+    FrontServerFixture(FrontLimits limits) {
         mLimits = limits;
     }
 
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontServerTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontServerTest.java
@@ -13,7 +13,7 @@
 import org.ebonyrun.base.time.Nanos;
 import org.junit.jupiter.api.Test;
 
-class FrontServerTest extends FrontFixture {
+class FrontServerTest extends FrontServerFixture {
     private static final FrontLimits LIMITS = new FrontLimits(300, 100, 1_000, 2_000);
 
     FrontServerTest() {
@@ -49,7 +49,7 @@
                 FrontExchange exchange = mRequests.take();
                 mServer.stop();
                 assertThat(readAll(idle), endsWith("first"));
-                assertThat(mServer.busy(), is(1));
+                assertThat(mServer.busyConnectionCount(), is(1));
 
                 exchange.respond(200, HttpHeaders.empty(), bytes("second"));
                 assertThat(readAll(busy), endsWith("second"));
@@ -102,8 +102,8 @@
             awaitRead();
             Socket working = send("GET /w HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             FrontExchange exchange = mRequests.take();
-            mServer.sweep(System.nanoTime() + Nanos.ofMillis(1_001));
-            mServer.sweep(System.nanoTime() + Nanos.ofMillis(60_000));
+            mServer.closeExpiredConnections(System.nanoTime() + Nanos.ofMillis(1_001));
+            mServer.closeExpiredConnections(System.nanoTime() + Nanos.ofMillis(60_000));
             assertThat(readAll(slow), is(""));
             exchange.respond(200, HttpHeaders.empty(), bytes("ok"));
             assertThat(readAll(working), containsString("ok"));
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/CarriedIdsTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/RequestIdFingerprintsTest.java
@@ -9,8 +9,8 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class CarriedIdsTest {
-    private final CarriedIds mIds = new CarriedIds();
+class RequestIdFingerprintsTest {
+    private final RequestIdFingerprints mIds = new RequestIdFingerprints();
 
     @Test
     void noIdIsForgottenAndFewAreClaimedWrongly() {
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/ScriptedServer.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/ScriptedServer.java
@@ -34,7 +34,7 @@
     record Received(ServerConnection connection, String id) {
         /** Answers with the id of a request and a body that names it. */
         void answer(String answered) throws IOException {
-            connection.write(ScriptedServer.answer(200, answered));
+            connection.write(ScriptedServer.response(200, answered));
         }
     }
 
@@ -67,12 +67,12 @@
     }
 
     /** Returns a whole answer to a request. */
-    static String answer(int status, String id) {
+    static String response(int status, String id) {
         return "HTTP/1.1 " + status + " X\r\nX-Id: " + id + "\r\n" + body("to " + id);
     }
 
     /** Returns a whole answer that names no request. */
-    static String unnamed(int status) {
+    static String responseWithoutId(int status) {
         return "HTTP/1.1 " + status + " X\r\n" + body("to nobody");
     }
 
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/SseParserTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/SseDataParserTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class SseParserTest {
+class SseDataParserTest {
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 100})
     void cutsEventsHoweverTheBytesArrive(int size) {
         byte[] stream =
                 ": note\nevent: x\ndata: a\u00e4\n\ndata:b\r\n\n".getBytes(StandardCharsets.UTF_8);
         List<String> events = new ArrayList<>();
-        SseParser parser = SseParser.create(events::add);
+        SseDataParser parser = SseDataParser.create(events::add);
         for (int from = 0; from < stream.length; from += size) {
             int to = Math.min(stream.length, from + size);
             assertThat(parser.feed(Arrays.copyOfRange(stream, from, to)), is(true));
@@ -30,12 +30,12 @@
 
     @org.junit.jupiter.api.Test
     void saysSoWhenALineIsTooLong() {
-        SseParser parser = SseParser.create(event -> {});
+        SseDataParser parser = SseDataParser.create(event -> {});
         assertThat(parser.feed(new byte[(1 << 20) + 1]), is(false));
     }
 
     @Property(tries = 100_000, seed = "1")
     void neverThrowsOnHostileBytes(@ForAll byte[] bytes) {
-        SseParser.create(event -> {}).feed(bytes);
+        SseDataParser.create(event -> {}).feed(bytes);
     }
 }
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/kv/CircuitBreakerTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/kv/CircuitBreakerTest.java
@@ -18,18 +18,18 @@
         fail(CircuitBreaker.FAILURES_TO_OPEN - 1);
         assertThat(mCircuit.isOpen(), is(false));
         fail(1);
-        assertThat(mCircuit.tryCall(0), is(false));
+        assertThat(mCircuit.tryAcquire(0), is(false));
     }
 
     @Test
     void letsOneProbePassAndClosesWithIt() {
         fail(CircuitBreaker.FAILURES_TO_OPEN);
         long later = Nanos.ofMillis(1_000);
-        assertThat(mCircuit.tryCall(later), is(true));
-        assertThat(mCircuit.tryCall(later), is(false));
+        assertThat(mCircuit.tryAcquire(later), is(true));
+        assertThat(mCircuit.tryAcquire(later), is(false));
         mCircuit.onSuccess();
-        assertThat(mCircuit.tryCall(later), is(true));
-        assertThat(mCircuit.tryCall(later), is(true));
+        assertThat(mCircuit.tryAcquire(later), is(true));
+        assertThat(mCircuit.tryAcquire(later), is(true));
     }
 
     @Test
@@ -38,11 +38,11 @@
         long now = 0;
         for (int i = 0; i < 10; i++) {
             now += Nanos.ofMillis(12_000);
-            assertThat(mCircuit.tryCall(now), is(true));
+            assertThat(mCircuit.tryAcquire(now), is(true));
             mCircuit.onFailure(now);
         }
-        assertThat(mCircuit.tryCall(now + Nanos.ofMillis(3_999)), is(false));
-        assertThat(mCircuit.tryCall(now + Nanos.ofMillis(12_000)), is(true));
+        assertThat(mCircuit.tryAcquire(now + Nanos.ofMillis(3_999)), is(false));
+        assertThat(mCircuit.tryAcquire(now + Nanos.ofMillis(12_000)), is(true));
     }
 
     private void fail(int times) {
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/kv/CallBudgetTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/kv/TokenBucketTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class CallBudgetTest {
+class TokenBucketTest {
     @ParameterizedTest
     @CsvSource({"0, 0", "100, 1", "1000, 10", "100000, 20"})
     void earnsCallsWithTimeUpToItsBurst(long millis, int expected) {
-        CallBudget budget = CallBudget.create(10, 20);
-        while (budget.tryTake(0)) {
+        TokenBucket budget = TokenBucket.create(10, 20);
+        while (budget.tryAcquire(0)) {
             // Uses the budget up.
         }
         int taken = 0;
-        while (budget.tryTake(Nanos.ofMillis(millis))) {
+        while (budget.tryAcquire(Nanos.ofMillis(millis))) {
             taken++;
         }
         assertThat(taken, is(expected));
@@ -25,9 +25,9 @@
 
     @Test
     void beginsFull() {
-        CallBudget budget = CallBudget.create(1, 2);
-        assertThat(budget.tryTake(0), is(true));
-        assertThat(budget.tryTake(0), is(true));
-        assertThat(budget.tryTake(0), is(false));
+        TokenBucket budget = TokenBucket.create(1, 2);
+        assertThat(budget.tryAcquire(0), is(true));
+        assertThat(budget.tryAcquire(0), is(true));
+        assertThat(budget.tryAcquire(0), is(false));
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinEngine.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinEngine.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import org.ebonyrun.base.result.Result;
+import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.ebonyrun.ports.http.BodyReader;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpListenerSettings;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
+import org.ebonyrun.ports.http.HttpServerSettings;
 import org.ebonyrun.ports.http.HttpServers;
 import org.ebonyrun.ports.http.Responder;
 import org.glassfish.grizzly.http.server.HttpHandler;
@@ -48,7 +48,7 @@
     private static final int DEFAULT_TOKENS = 16;
 
     private final EngineSettings mSettings;
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final ScheduledExecutorService mTimer;
     private final HttpServer mServer;
     private final AtomicLong mRunIds = new AtomicLong();
@@ -64,7 +64,7 @@
             throws IOException {
         mSettings = settings;
         mVersion = version;
-        mCaller = HttpCaller.start();
+        mCaller = AsyncHttpClient.start();
         mTimer =
                 Executors.newScheduledThreadPool(
                         1,
@@ -75,7 +75,7 @@
                         });
         mServer =
                 HttpServers.start(
-                        new HttpListenerSettings(settings.name(), host, port, WORKERS),
+                        new HttpServerSettings(settings.name(), host, port, WORKERS),
                         Map.of(
                                 "/v1/completions", handler(this::onCompletion),
                                 "/state", handler(this::onState),
@@ -136,7 +136,7 @@
         Responder out = Responder.suspend(response);
         String requestId = request.getHeader(REQUEST_ID);
         if (requestId != null) {
-            out.header(REQUEST_ID, requestId);
+            out.setHeader(REQUEST_ID, requestId);
         }
         return out;
     }
@@ -156,13 +156,13 @@
         state.put("slots", mSettings.slots());
         state.put("running", mRunning.get());
         state.put("checks_fence", mSettings.checksFence());
-        out.whole(200, "application/json", JSON.writeValueAsBytes(state));
+        out.sendWhole(200, "application/json", JSON.writeValueAsBytes(state));
     }
 
     private void onWeights(Request request, Responder out) {
         String version = request.getRequestURI().substring("/weights/".length());
         boolean has = Long.parseLong(version) == mVersion;
-        out.whole(has ? 200 : 404, "application/octet-stream", new byte[0]);
+        out.sendWhole(has ? 200 : 404, "application/octet-stream", new byte[0]);
     }
 
     private void onCompletion(Request request, Responder out) {
@@ -178,7 +178,7 @@
         try {
             tree = JSON.readTree(body);
         } catch (IOException e) {
-            out.whole(400, "application/json", "{\"error\":\"bad json\"}".getBytes());
+            out.sendWhole(400, "application/json", "{\"error\":\"bad json\"}".getBytes());
             return false;
         }
         String prompt = tree.path("prompt").asText();
@@ -208,13 +208,13 @@
         try {
             order = JSON.readTree(body);
         } catch (IOException e) {
-            out.whole(400, "text/plain", new byte[0]);
+            out.sendWhole(400, "text/plain", new byte[0]);
             return;
         }
         long fence = order.path("fence").asLong();
         if (fence < mHighestFence) {
             if (mSettings.checksFence()) {
-                out.whole(409, "text/plain", "old fence".getBytes(StandardCharsets.UTF_8));
+                out.sendWhole(409, "text/plain", "old fence".getBytes(StandardCharsets.UTF_8));
                 return;
             }
             mFencedOrders++;
@@ -222,21 +222,21 @@
         mHighestFence = Math.max(mHighestFence, fence);
         long version = order.path("version").asLong();
         URI source = URI.create(order.path("source").asText());
-        mCaller.request(HttpCall.of("GET", source, FETCH_TIMEOUT_MILLIS), "weights.fetch")
+        mCaller.request(HttpRequest.of("GET", source, FETCH_TIMEOUT_MILLIS), "weights.fetch")
                 .thenAccept(result -> onFetched(version, result, out));
     }
 
-    private void onFetched(long version, Result<HttpReply> result, Responder out) {
-        boolean fetched = result.fold(HttpReply::isSuccess, fault -> false);
+    private void onFetched(long version, Result<HttpResponse> result, Responder out) {
+        boolean fetched = result.fold(HttpResponse::isSuccess, fault -> false);
         boolean fails = mLoadsToFail.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
         if (!fetched || fails || mTimer.isShutdown()) {
-            out.whole(502, "text/plain", "fetch failed".getBytes(StandardCharsets.UTF_8));
+            out.sendWhole(502, "text/plain", "fetch failed".getBytes(StandardCharsets.UTF_8));
             return;
         }
         mTimer.schedule(
                 () -> {
                     mVersion = version;
-                    out.whole(200, "text/plain", new byte[0]);
+                    out.sendWhole(200, "text/plain", new byte[0]);
                 },
                 mSettings.swapMillis(),
                 TimeUnit.MILLISECONDS);
@@ -272,10 +272,10 @@
             }
             mSent += count;
             mVersions.add(version);
-            if (!mOut.part(event(text.toString(), count, version))) {
+            if (!mOut.sendPart(event(text.toString(), count, version))) {
                 end(false);
             } else if (mSent >= mWanted) {
-                mOut.part("data: [DONE]\n\n");
+                mOut.sendPart("data: [DONE]\n\n");
                 mOut.end();
                 end(true);
             } else if (!mTimer.isShutdown()) {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinService.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinService.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.ebonyrun.ports.http.BodyReader;
-import org.ebonyrun.ports.http.HttpListenerSettings;
+import org.ebonyrun.ports.http.HttpServerSettings;
 import org.ebonyrun.ports.http.HttpServers;
 import org.ebonyrun.ports.http.Responder;
 import org.glassfish.grizzly.http.server.HttpHandler;
@@ -45,8 +45,7 @@
                         });
         mServer =
                 HttpServers.start(
-                        new HttpListenerSettings(name, host, port, WORKERS),
-                        Map.of("/*", handler()));
+                        new HttpServerSettings(name, host, port, WORKERS), Map.of("/*", handler()));
     }
 
     /** Starts a service that takes {@code serviceMillis} milliseconds for each request. */
@@ -78,7 +77,7 @@
                 Responder out = StandinEngine.suspend(request, response);
                 String path = request.getRequestURI();
                 if (!request.getMethod().getMethodString().equals("POST")) {
-                    out.whole(200, JSON, "{}".getBytes(StandardCharsets.UTF_8));
+                    out.sendWhole(200, JSON, "{}".getBytes(StandardCharsets.UTF_8));
                     return;
                 }
                 BodyReader.read(
@@ -98,7 +97,8 @@
                 scoring
                         ? Integer.toString(body.length % 100).getBytes(StandardCharsets.UTF_8)
                         : body;
-        mTimer.schedule(() -> out.whole(200, JSON, answer), mServiceMillis, TimeUnit.MILLISECONDS);
+        mTimer.schedule(
+                () -> out.sendWhole(200, JSON, answer), mServiceMillis, TimeUnit.MILLISECONDS);
         return true;
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/KeyValueTable.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/KeyValueTable.java
@@ -88,7 +88,7 @@
     }
 
     private static long expiry(long ttlMillis, long nowMillis) {
-        return ttlMillis == KeyValueStore.FOREVER_MILLIS ? NEVER : nowMillis + ttlMillis;
+        return ttlMillis == KeyValueStore.NO_EXPIRY_MILLIS ? NEVER : nowMillis + ttlMillis;
     }
 
     private void expire(long nowMillis) {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/StandinPlatform.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/StandinPlatform.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.ports.http.BodyReader;
-import org.ebonyrun.ports.http.HttpListenerSettings;
+import org.ebonyrun.ports.http.HttpServerSettings;
 import org.ebonyrun.ports.http.HttpServers;
 import org.ebonyrun.ports.http.Responder;
 import org.ebonyrun.ports.kv.KeyValueEntry;
@@ -67,7 +67,7 @@
         mTimer.scheduleAtFixedRate(() -> mFetches.set(0), 1, 1, TimeUnit.SECONDS);
         mServer =
                 HttpServers.start(
-                        new HttpListenerSettings("platform", host, port, WORKERS),
+                        new HttpServerSettings("platform", host, port, WORKERS),
                         Map.of(
                                 "/kv", handler(this::onList),
                                 "/kv/*", handler(this::onKey),
@@ -143,7 +143,7 @@
     private boolean refusesNow(Responder out) {
         mCalls.incrementAndGet();
         if (mDown) {
-            out.whole(503, "text/plain", new byte[0]);
+            out.sendWhole(503, "text/plain", new byte[0]);
         }
         return mDown;
     }
@@ -156,7 +156,7 @@
         var entries = body.putArray("entries");
         mTable.list(String.valueOf(request.getParameter("prefix")), nowMillis())
                 .forEach(entry -> entries.add(json(entry)));
-        out.whole(200, JSON_TYPE, JSON.writeValueAsBytes(body));
+        out.sendWhole(200, JSON_TYPE, JSON.writeValueAsBytes(body));
     }
 
     private void onKey(Request request, Responder out) throws IOException {
@@ -181,7 +181,7 @@
                 wake(key);
                 answer(outcome, out);
             }
-            default -> out.whole(405, "text/plain", new byte[0]);
+            default -> out.sendWhole(405, "text/plain", new byte[0]);
         }
     }
 
@@ -204,7 +204,7 @@
             JsonNode tree = JSON.readTree(body);
             value = Base64.getDecoder().decode(tree.get("value").asText());
         } catch (IOException e) {
-            out.whole(400, "text/plain", new byte[0]);
+            out.sendWhole(400, "text/plain", new byte[0]);
             return false;
         }
         WriteOutcome outcome =
@@ -223,7 +223,7 @@
         }
         byte[] body =
                 ("{\"revision\":" + outcome.revision() + "}").getBytes(StandardCharsets.UTF_8);
-        out.whole(outcome.applied() ? 200 : 409, JSON_TYPE, body);
+        out.sendWhole(outcome.applied() ? 200 : 409, JSON_TYPE, body);
     }
 
     private void wake(String key) {
@@ -244,9 +244,9 @@
 
     private static void sendEntry(@Nullable KeyValueEntry entry, Responder out) {
         if (entry == null) {
-            out.whole(404, JSON_TYPE, "{}".getBytes(StandardCharsets.UTF_8));
+            out.sendWhole(404, JSON_TYPE, "{}".getBytes(StandardCharsets.UTF_8));
         } else {
-            out.whole(200, JSON_TYPE, json(entry).toString().getBytes(StandardCharsets.UTF_8));
+            out.sendWhole(200, JSON_TYPE, json(entry).toString().getBytes(StandardCharsets.UTF_8));
         }
     }
 
@@ -258,23 +258,23 @@
     }
 
     private void onVms(Request request, Responder out) throws IOException {
-        out.whole(200, JSON_TYPE, JSON.writeValueAsBytes(new ArrayList<>(mVms.values())));
+        out.sendWhole(200, JSON_TYPE, JSON.writeValueAsBytes(new ArrayList<>(mVms.values())));
     }
 
     private void onWeights(Request request, Responder out) {
         String[] parts = request.getRequestURI().substring("/weights/".length()).split("/");
         AtomicLong latest = mLatest.computeIfAbsent(parts[0], key -> new AtomicLong());
         if (parts[1].equals("latest")) {
-            out.whole(200, "text/plain", latest.toString().getBytes(StandardCharsets.UTF_8));
+            out.sendWhole(200, "text/plain", latest.toString().getBytes(StandardCharsets.UTF_8));
         } else if (request.getMethod().getMethodString().equals("PUT")) {
             publish(parts[0], Long.parseLong(parts[1]));
-            out.whole(200, "text/plain", new byte[0]);
+            out.sendWhole(200, "text/plain", new byte[0]);
         } else if (mFetches.incrementAndGet() > WEIGHT_FETCHES_PER_SECOND) {
-            out.whole(429, "text/plain", new byte[0]);
+            out.sendWhole(429, "text/plain", new byte[0]);
         } else if (Long.parseLong(parts[1]) > latest.get()) {
-            out.whole(404, "text/plain", new byte[0]);
+            out.sendWhole(404, "text/plain", new byte[0]);
         } else {
-            out.whole(200, "application/octet-stream", new byte[0]);
+            out.sendWhole(200, "application/octet-stream", new byte[0]);
         }
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/StandinTrainer.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/StandinTrainer.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 
 /**
  * A trainer: submits a step, pulls its samples, trains, publishes new weights, and begins again.
@@ -30,7 +30,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final TrainerSettings mSettings;
-    private final HttpCaller mCaller;
+    private final AsyncHttpClient mCaller;
     private final Supplier<URI> mEntry;
     private final URI mWeights;
     private final List<ReceivedSample> mSamples = new CopyOnWriteArrayList<>();
@@ -42,7 +42,7 @@
 
     private StandinTrainer(
             TrainerSettings settings,
-            HttpCaller caller,
+            AsyncHttpClient caller,
             Supplier<URI> entry,
             URI weights,
             long version) {
@@ -62,7 +62,7 @@
      */
     public static StandinTrainer create(
             TrainerSettings settings,
-            HttpCaller caller,
+            AsyncHttpClient caller,
             Supplier<URI> entry,
             URI weights,
             long version) {
@@ -145,7 +145,7 @@
 
     private void publish() throws InterruptedException {
         URI uri = URI.create(mWeights + "/weights/" + mSettings.service() + "/" + mVersion);
-        HttpCall call = HttpCall.of("PUT", uri, TIMEOUT_MILLIS);
+        HttpRequest call = HttpRequest.of("PUT", uri, TIMEOUT_MILLIS);
         while (!mCaller.request(call, "weights.publish").join().isOk()) {
             TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
         }
@@ -156,9 +156,9 @@
             throws InterruptedException {
         while (true) {
             URI uri = URI.create(mEntry.get() + path);
-            HttpCall call = HttpCall.json(method, uri, body, TIMEOUT_MILLIS);
-            Result<HttpReply> result = mCaller.request(call, "trainer." + method).join();
-            HttpReply reply = result.fold(value -> value, fault -> failed(fault.toString()));
+            HttpRequest call = HttpRequest.json(method, uri, body, TIMEOUT_MILLIS);
+            Result<HttpResponse> result = mCaller.request(call, "trainer." + method).join();
+            HttpResponse reply = result.fold(value -> value, fault -> failed(fault.toString()));
             if (reply.isSuccess()) {
                 return parse(reply.body());
             }
@@ -170,8 +170,8 @@
         }
     }
 
-    private static HttpReply failed(String detail) {
-        return new HttpReply(0, detail.getBytes(StandardCharsets.UTF_8));
+    private static HttpResponse failed(String detail) {
+        return new HttpResponse(0, detail.getBytes(StandardCharsets.UTF_8));
     }
 
     private byte[] submission(long step) {
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/EntryHttpTest.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/EntryHttpTest.java
@@ -10,7 +10,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -63,7 +63,7 @@
             })
     void malformedRequestsGetAStableCode(
             String method, String path, String type, String body, int status, String code) {
-        HttpReply reply = sFleet.ask(method, path, Map.of("Content-Type", type), body).orThrow();
+        HttpResponse reply = sFleet.ask(method, path, Map.of("Content-Type", type), body).orThrow();
         assertThat(reply.text(), containsString("\"code\":\"" + code + "\""));
         assertThat(reply.text(), containsString("\"outcome\":\"not-run\""));
         assertThat(reply.status(), is(status));
@@ -99,7 +99,7 @@
                 slow[i].shutdownOutput();
             }
         }
-        HttpReply reply = sFleet.call("{\"prompt\":\"mine\",\"max_tokens\":3}").orThrow();
+        HttpResponse reply = sFleet.call("{\"prompt\":\"mine\",\"max_tokens\":3}").orThrow();
         assertThat(reply.text(), containsString(":mine t0 t1 t2"));
         for (Socket socket : slow) {
             socket.close();
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/LoopbackFleet.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/LoopbackFleet.java
@@ -9,9 +9,9 @@
 import org.ebonyrun.base.result.Result;
 import org.ebonyrun.daemon.agent.AgentNode;
 import org.ebonyrun.daemon.entry.EntryNode;
-import org.ebonyrun.ports.http.HttpCall;
-import org.ebonyrun.ports.http.HttpCaller;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.AsyncHttpClient;
+import org.ebonyrun.ports.http.HttpRequest;
+import org.ebonyrun.ports.http.HttpResponse;
 import org.ebonyrun.ports.vm.VmRecord;
 import org.ebonyrun.standin.engine.EngineSettings;
 import org.ebonyrun.standin.engine.StandinEngine;
@@ -35,7 +35,7 @@
               rollout: {service: models, kind: rollout, staleness: 2 versions, trainer_idle: 5s}
             """;
 
-    final HttpCaller mCaller = HttpCaller.start();
+    final AsyncHttpClient mCaller = AsyncHttpClient.start();
     final StandinPlatform mPlatform = StandinPlatform.start(HOST, 0);
     final LoopbackSettings mSettings = new LoopbackSettings(mPlatform.address(), 8);
     final StandinEngine[] mEngines = new StandinEngine[2];
@@ -51,7 +51,7 @@
         }
         mEntry = EntryNode.start(mSettings.entry("entry-1", DOMAIN));
         String query = "/admin/config?author=test&expect=0";
-        HttpReply reply = ask("PUT", query, Map.of(), CONFIG).orThrow();
+        HttpResponse reply = ask("PUT", query, Map.of(), CONFIG).orThrow();
         if (!reply.isSuccess()) {
             throw new IllegalStateException(reply.text());
         }
@@ -80,7 +80,7 @@
         String usable = "\"usable\":true,\"free\"";
         int seen = -1;
         while (seen != count) {
-            String dump = ask("GET", "/admin/dump", Map.of(), "").fold(HttpReply::text, f -> "");
+            String dump = ask("GET", "/admin/dump", Map.of(), "").fold(HttpResponse::text, f -> "");
             seen = dump.split(usable, -1).length - 1;
         }
     }
@@ -89,17 +89,17 @@
         return URI.create("http://" + HOST + ":" + mEntry.httpPort());
     }
 
-    Result<HttpReply> call(String body) {
+    Result<HttpResponse> call(String body) {
         return ask("POST", "/v1/calls/lookup", Map.of("Content-Type", "application/json"), body);
     }
 
-    Result<HttpReply> ask(String method, String path, Map<String, String> headers, String body) {
+    Result<HttpResponse> ask(String method, String path, Map<String, String> headers, String body) {
         return mCaller.request(request(method, path, headers, body), "test").join();
     }
 
-    HttpCall request(String method, String path, Map<String, String> headers, String body) {
+    HttpRequest request(String method, String path, Map<String, String> headers, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        return HttpCall.to(method, URI.create(address() + path), headers, bytes, TIMEOUT_MILLIS);
+        return HttpRequest.to(method, URI.create(address() + path), headers, bytes, TIMEOUT_MILLIS);
     }
 
     @Override
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/NodeLifeTest.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/NodeLifeTest.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import org.ebonyrun.base.result.Result;
-import org.ebonyrun.ports.http.HttpListener;
-import org.ebonyrun.ports.http.HttpReply;
+import org.ebonyrun.ports.http.HttpResponse;
+import org.ebonyrun.ports.http.HttpResponseListener;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -23,13 +23,13 @@
             "{\"prompt\":\"long\",\"max_tokens\":200,\"stream\":true}";
 
     /** Collects a stream and tells when its first piece has come. */
-    private static final class Stream implements HttpListener {
+    private static final class Stream implements HttpResponseListener {
         private final CountDownLatch mBegun = new CountDownLatch(1);
         private final CompletableFuture<String> mEnd = new CompletableFuture<>();
         private final StringBuilder mText = new StringBuilder();
 
         @Override
-        public void onHead(org.ebonyrun.ports.http.HttpHead head) {}
+        public void onHead(org.ebonyrun.ports.http.HttpResponseHead head) {}
 
         @Override
         public void onData(byte[] data) {
@@ -72,7 +72,7 @@
             stream.mBegun.await();
             fleet.mAgents[0].drain();
             fleet.mAgents[1].drain();
-            Result<HttpReply> refused = fleet.call("{\"prompt\":\"late\"}");
+            Result<HttpResponse> refused = fleet.call("{\"prompt\":\"late\"}");
             assertThat(refused.orThrow().text(), containsString("\"outcome\":\"not-run\""));
             assertThat(stream.mEnd.join(), containsString("[DONE]"));
             boolean ran = false;
@@ -113,9 +113,9 @@
     void configurationSurvivesAnOutageOfThePlatform() throws IOException {
         try (LoopbackFleet fleet = new LoopbackFleet()) {
             fleet.mPlatform.setDown(true);
-            HttpReply reply = fleet.call("{\"prompt\":\"on\",\"max_tokens\":2}").orThrow();
+            HttpResponse reply = fleet.call("{\"prompt\":\"on\",\"max_tokens\":2}").orThrow();
             assertThat(reply.text(), containsString(":on t0 t1"));
-            HttpReply refused =
+            HttpResponse refused =
                     fleet.ask(
                                     "PUT",
                                     "/v1/trainers/t/steps/1",
