--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/duty/Command.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/Command.java
@@ -1,4 +1,4 @@
-package org.ebonyrun.base.duty;
+package org.ebonyrun.base.eventloop;
 
 /**
  * One event for a state machine: a call of one of its methods at the time of handling.
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/duty/DutyHandler.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/EventHandler.java
@@ -1,4 +1,4 @@
-package org.ebonyrun.base.duty;
+package org.ebonyrun.base.eventloop;
 
 /**
  * Handles the events of one duty. All methods are called on the duty's own thread, so an
@@ -6,7 +6,7 @@
  *
  * @param <E> the type of event
  */
-public interface DutyHandler<E> {
+public interface EventHandler<E> {
     /**
      * Handles one event.
      *
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/duty/Duty.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package org.ebonyrun.base.duty;
+package org.ebonyrun.base.eventloop;
 
 import static com.google.common.base.Preconditions.checkArgument;
 
@@ -23,14 +23,14 @@
  *
  * @param <E> the type of event
  */
-public final class Duty<E> implements AutoCloseable {
+public final class EventLoop<E> implements AutoCloseable {
     private static final long STUCK_SECONDS = 10;
     private static final long FULL_PARK_NANOS = Nanos.ofMillis(1);
     private static final int EXIT_STUCK = 70;
 
     private final String mName;
     private final MpscArrayQueue<Object> mRing;
-    private final DutyHandler<E> mHandler;
+    private final EventHandler<E> mHandler;
     private final MonotonicClock mClock;
     private final long mTickNanos;
     private final Thread mThread;
@@ -38,10 +38,10 @@
     private volatile boolean mParked;
     private volatile boolean mClosed;
 
-    private Duty(
+    private EventLoop(
             String name,
             int capacity,
-            DutyHandler<E> handler,
+            EventHandler<E> handler,
             MonotonicClock clock,
             long tickNanos) {
         checkArgument(capacity >= 2, "capacity is below 2: %s", capacity);
@@ -59,15 +59,15 @@
      * Creates and starts a duty.
      *
      * @param capacity the least number of events that the ring holds
-     * @param tickNanos the period of {@link DutyHandler#onTick}, in nanoseconds
+     * @param tickNanos the period of {@link EventHandler#onTick}, in nanoseconds
      */
-    public static <E> Duty<E> start(
+    public static <E> EventLoop<E> start(
             String name,
             int capacity,
-            DutyHandler<E> handler,
+            EventHandler<E> handler,
             MonotonicClock clock,
             long tickNanos) {
-        Duty<E> duty = create(name, capacity, handler, clock, tickNanos);
+        EventLoop<E> duty = create(name, capacity, handler, clock, tickNanos);
         duty.launch();
         return duty;
     }
@@ -76,15 +76,15 @@
      * Creates a duty whose thread does not run yet, for duties that refer to each other.
      *
      * @param capacity the least number of events that the ring holds
-     * @param tickNanos the period of {@link DutyHandler#onTick}, in nanoseconds
+     * @param tickNanos the period of {@link EventHandler#onTick}, in nanoseconds
      */
-    public static <E> Duty<E> create(
+    public static <E> EventLoop<E> create(
             String name,
             int capacity,
-            DutyHandler<E> handler,
+            EventHandler<E> handler,
             MonotonicClock clock,
             long tickNanos) {
-        return new Duty<>(name, capacity, handler, clock, tickNanos);
+        return new EventLoop<>(name, capacity, handler, clock, tickNanos);
     }
 
     /**
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/duty/MachineHandler.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/StateMachineHandler.java
@@ -1,4 +1,4 @@
-package org.ebonyrun.base.duty;
+package org.ebonyrun.base.eventloop;
 
 /**
  * Runs a state machine on a duty: applies its commands and passes its ticks on.
@@ -7,16 +7,16 @@
  *
  * @param <S> the type of the state machine
  */
-public final class MachineHandler<S extends Ticking> implements DutyHandler<Command<S>> {
+public final class StateMachineHandler<S extends Ticking> implements EventHandler<Command<S>> {
     private final S mMachine;
 
-    private MachineHandler(S machine) {
+    private StateMachineHandler(S machine) {
         mMachine = machine;
     }
 
     /** Creates a handler for a state machine. */
-    public static <S extends Ticking> MachineHandler<S> of(S machine) {
-        return new MachineHandler<>(machine);
+    public static <S extends Ticking> StateMachineHandler<S> of(S machine) {
+        return new StateMachineHandler<>(machine);
     }
 
     @Override
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/duty/Ticking.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/Ticking.java
@@ -1,4 +1,4 @@
-package org.ebonyrun.base.duty;
+package org.ebonyrun.base.eventloop;
 
 /** A state machine that does periodic work. */
 @FunctionalInterface
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/duty/package-info.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/package-info.java
@@ -1,5 +1,5 @@
 /** Threads with one duty each, fed by bounded rings. */
 @NullMarked
-package org.ebonyrun.base.duty;
+package org.ebonyrun.base.eventloop;
 
 import org.jspecify.annotations.NullMarked;
--- a/ebonyrun-base/src/test/java/org/ebonyrun/base/duty/DutyTest.java
+++ b/ebonyrun-base/src/test/java/org/ebonyrun/base/eventloop/EventLoopTest.java
@@ -1,4 +1,4 @@
-package org.ebonyrun.base.duty;
+package org.ebonyrun.base.eventloop;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.contains;
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class DutyTest {
+class EventLoopTest {
     private static final long TICK_NANOS = TimeUnit.HOURS.toNanos(1);
 
     /** Records events, and waits at the event {@code block}. */
-    private static final class Recorder implements DutyHandler<String> {
+    private static final class Recorder implements EventHandler<String> {
         private final List<String> mSeen = new CopyOnWriteArrayList<>();
         private final CountDownLatch mBlocked = new CountDownLatch(1);
         private final CountDownLatch mRelease = new CountDownLatch(1);
@@ -46,8 +46,8 @@
     @Test
     void handlesEventsInOrderAndSurvivesAFailure() {
         Recorder recorder = new Recorder();
-        try (Duty<String> duty =
-                Duty.start("test", 8, recorder, MonotonicClock.system(), TICK_NANOS)) {
+        try (EventLoop<String> duty =
+                EventLoop.start("test", 8, recorder, MonotonicClock.system(), TICK_NANOS)) {
             duty.post("a");
             duty.post("throw");
             duty.post("b");
@@ -59,8 +59,8 @@
     @Test
     void refusesWhenTheRingIsFull() throws InterruptedException {
         Recorder recorder = new Recorder();
-        try (Duty<String> duty =
-                Duty.start("test", 2, recorder, MonotonicClock.system(), TICK_NANOS)) {
+        try (EventLoop<String> duty =
+                EventLoop.start("test", 2, recorder, MonotonicClock.system(), TICK_NANOS)) {
             duty.post("block");
             recorder.mBlocked.await();
             assertThat(duty.offer("1"), is(true));
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.ebonyrun.base.duty.Ticking;
+import org.ebonyrun.base.eventloop.Ticking;
 import org.ebonyrun.base.id.AttemptId;
 import org.ebonyrun.base.id.SampleKey;
 import org.ebonyrun.base.id.VmId;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMachine.java
@@ -1,6 +1,6 @@
 package org.ebonyrun.core.config;
 
-import org.ebonyrun.base.duty.Ticking;
+import org.ebonyrun.base.eventloop.Ticking;
 
 /**
  * Holds the newest configuration that this process has seen, from any source.
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMachine.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
-import org.ebonyrun.base.duty.Ticking;
+import org.ebonyrun.base.eventloop.Ticking;
 import org.ebonyrun.base.id.FailureDomain;
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.base.time.Nanos;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutMachine.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.ebonyrun.base.duty.Ticking;
+import org.ebonyrun.base.eventloop.Ticking;
 import org.ebonyrun.base.id.SampleKey;
 import org.ebonyrun.base.id.ServiceName;
 import org.ebonyrun.base.id.TrainerId;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatcher.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatcher.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.ebonyrun.base.duty.Ticking;
+import org.ebonyrun.base.eventloop.Ticking;
 import org.ebonyrun.base.id.AttemptId;
 import org.ebonyrun.base.id.ClassName;
 import org.ebonyrun.base.id.FailureDomain;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapMachine.java
@@ -1,7 +1,7 @@
 package org.ebonyrun.core.weights;
 
 import java.util.Optional;
-import org.ebonyrun.base.duty.Ticking;
+import org.ebonyrun.base.eventloop.Ticking;
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.base.result.FaultCode;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.ebonyrun.base.duty.Ticking;
+import org.ebonyrun.base.eventloop.Ticking;
 import org.ebonyrun.base.id.ServiceName;
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.base.time.Nanos;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/NodeMetrics.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/NodeMetrics.java
@@ -9,7 +9,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.List;
-import org.ebonyrun.base.duty.Duty;
+import org.ebonyrun.base.eventloop.EventLoop;
 
 /** The metrics of one process. Thread safe. */
 public final class NodeMetrics {
@@ -70,14 +70,14 @@
     public NodeMetrics() {}
 
     /** Adds the fill of the rings of some duties. */
-    public void watchRings(List<Duty<?>> duties) {
+    public void watchRings(List<EventLoop<?>> duties) {
         GaugeWithCallback.builder()
                 .name("ebonyrun_ring_fill_ratio")
                 .help("Share of a duty's ring that is in use.")
                 .labelNames("duty")
                 .callback(
                         gauge -> {
-                            for (Duty<?> duty : duties) {
+                            for (EventLoop<?> duty : duties) {
                                 double fill = (double) duty.depth() / duty.capacity();
                                 gauge.call(fill, duty.name());
                             }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.ebonyrun.base.duty.Command;
-import org.ebonyrun.base.duty.Duty;
-import org.ebonyrun.base.duty.MachineHandler;
+import org.ebonyrun.base.eventloop.Command;
+import org.ebonyrun.base.eventloop.EventLoop;
+import org.ebonyrun.base.eventloop.StateMachineHandler;
 import org.ebonyrun.base.id.AttemptId;
 import org.ebonyrun.base.id.ServiceName;
 import org.ebonyrun.base.result.Fault;
@@ -83,9 +83,9 @@
     private final AttemptMachine mAttempts;
     private final ConfigMachine mConfig;
     private final SwapMachine mSwap;
-    private final Duty<Command<AttemptMachine>> mAttemptDuty;
-    private final Duty<Command<ConfigMachine>> mConfigDuty;
-    private final Duty<Command<SwapMachine>> mSwapDuty;
+    private final EventLoop<Command<AttemptMachine>> mAttemptDuty;
+    private final EventLoop<Command<ConfigMachine>> mConfigDuty;
+    private final EventLoop<Command<SwapMachine>> mSwapDuty;
     private final ScheduledExecutorService mTimer;
     private final HttpServer mHttp;
     private final int mLinkPort;
@@ -114,10 +114,15 @@
                         settings.vm(), limits, AttemptPolicy.standard(), new AttemptEffects());
         mConfig = ConfigMachine.create(new ConfigEffects());
         mSwap = SwapMachine.create(settings.vm(), new SwapEffects());
-        mAttemptDuty = Duty.start("attempt", RING, MachineHandler.of(mAttempts), clock, TICK_NANOS);
+        mAttemptDuty =
+                EventLoop.start(
+                        "attempt", RING, StateMachineHandler.of(mAttempts), clock, TICK_NANOS);
         mConfigDuty =
-                Duty.start("config", SMALL_RING, MachineHandler.of(mConfig), clock, TICK_NANOS);
-        mSwapDuty = Duty.start("weights", SMALL_RING, MachineHandler.of(mSwap), clock, TICK_NANOS);
+                EventLoop.start(
+                        "config", SMALL_RING, StateMachineHandler.of(mConfig), clock, TICK_NANOS);
+        mSwapDuty =
+                EventLoop.start(
+                        "weights", SMALL_RING, StateMachineHandler.of(mSwap), clock, TICK_NANOS);
         mMetrics.watchRings(List.of(mAttemptDuty, mConfigDuty, mSwapDuty));
         ServiceName service = requireNonNull(settings.service());
         MembershipMessage.Hello hello =
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DutyLeases.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DutyLeases.java
@@ -1,8 +1,8 @@
 package org.ebonyrun.daemon.entry;
 
 import java.util.function.Supplier;
-import org.ebonyrun.base.duty.Command;
-import org.ebonyrun.base.duty.Duty;
+import org.ebonyrun.base.eventloop.Command;
+import org.ebonyrun.base.eventloop.EventLoop;
 import org.ebonyrun.core.lease.LeaseListener;
 import org.ebonyrun.core.lease.LeaseOutputs;
 import org.ebonyrun.daemon.store.LeaseClient;
@@ -16,9 +16,9 @@
  */
 final class DutyLeases<M extends LeaseListener> implements LeaseOutputs {
     private final Supplier<LeaseClient> mClient;
-    private final Supplier<Duty<Command<M>>> mDuty;
+    private final Supplier<EventLoop<Command<M>>> mDuty;
 
-    DutyLeases(Supplier<LeaseClient> client, Supplier<Duty<Command<M>>> duty) {
+    DutyLeases(Supplier<LeaseClient> client, Supplier<EventLoop<Command<M>>> duty) {
         mClient = client;
         mDuty = duty;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.atomic.AtomicLong;
-import org.ebonyrun.base.duty.Command;
-import org.ebonyrun.base.duty.Duty;
-import org.ebonyrun.base.duty.MachineHandler;
-import org.ebonyrun.base.duty.Ticking;
+import org.ebonyrun.base.eventloop.Command;
+import org.ebonyrun.base.eventloop.EventLoop;
+import org.ebonyrun.base.eventloop.StateMachineHandler;
+import org.ebonyrun.base.eventloop.Ticking;
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.base.time.MonotonicClock;
 import org.ebonyrun.base.time.Nanos;
@@ -82,11 +82,11 @@
     final ConfigMachine mConfig;
     final MembershipMachine mMembership;
     final WeightPlanner mPlanner;
-    final Duty<Command<Dispatcher>> mDispatchDuty;
-    final Duty<Command<RolloutMachine>> mRolloutDuty;
-    final Duty<Command<ConfigMachine>> mConfigDuty;
-    final Duty<Command<MembershipMachine>> mMembershipDuty;
-    final Duty<Command<WeightPlanner>> mPlannerDuty;
+    final EventLoop<Command<Dispatcher>> mDispatchDuty;
+    final EventLoop<Command<RolloutMachine>> mRolloutDuty;
+    final EventLoop<Command<ConfigMachine>> mConfigDuty;
+    final EventLoop<Command<MembershipMachine>> mMembershipDuty;
+    final EventLoop<Command<WeightPlanner>> mPlannerDuty;
     final int mLinkPort;
     volatile OperatorConfig mCurrent = OperatorConfig.empty();
     volatile boolean mDraining;
@@ -148,12 +148,12 @@
         mMembershipDuty = duty("membership", SMALL_RING, mMembership, SLOW_TICK_NANOS);
         mPlannerDuty = duty("weights", SMALL_RING, mPlanner, SLOW_TICK_NANOS);
         mMetrics.watchRings(duties());
-        duties().forEach(Duty::launch);
+        duties().forEach(EventLoop::launch);
         mStarted = true;
     }
 
     /** Returns all duties of the entry. */
-    List<Duty<?>> duties() {
+    List<EventLoop<?>> duties() {
         return List.of(mDispatchDuty, mRolloutDuty, mConfigDuty, mMembershipDuty, mPlannerDuty);
     }
 
@@ -162,7 +162,7 @@
         mTimer.shutdownNow();
         mBook.closeAll();
         mTransport.close();
-        duties().forEach(Duty::close);
+        duties().forEach(EventLoop::close);
         mCaller.close();
     }
 
@@ -176,9 +176,9 @@
                 "");
     }
 
-    private static <S extends Ticking> Duty<Command<S>> duty(
+    private static <S extends Ticking> EventLoop<Command<S>> duty(
             String name, int ring, S machine, long tickNanos) {
-        return Duty.create(
-                name, ring, MachineHandler.of(machine), MonotonicClock.system(), tickNanos);
+        return EventLoop.create(
+                name, ring, StateMachineHandler.of(machine), MonotonicClock.system(), tickNanos);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.ebonyrun.base.duty.Duty;
-import org.ebonyrun.base.duty.DutyHandler;
+import org.ebonyrun.base.eventloop.EventHandler;
+import org.ebonyrun.base.eventloop.EventLoop;
 import org.ebonyrun.base.log.EventLog;
 import org.ebonyrun.base.log.LogLine;
 import org.ebonyrun.base.result.Fault;
@@ -53,7 +53,7 @@
  * <p>One I/O thread reads and writes all sockets; one duty holds all state and takes all decisions;
  * a bounded ring joins them. Thread safe: {@link #drain} may be called from any thread.
  */
-public final class HostedEntry implements HostedContext, DutyHandler<Runnable>, Closeable {
+public final class HostedEntry implements HostedContext, EventHandler<Runnable>, Closeable {
     private static final int RING = 16_384;
     private static final long TICK_NANOS = Nanos.ofMillis(20);
     private static final long SWEEP_NANOS = Nanos.ofMillis(500);
@@ -72,7 +72,7 @@
 
     private volatile HostedSettings mSettings;
     private final EventLog mLog;
-    private final Duty<Runnable> mDuty;
+    private final EventLoop<Runnable> mDuty;
     private final ProcessName mSelf;
     private final PriorityQueue<Timed> mLater =
             new PriorityQueue<>((a, b) -> Long.signum(a.at() - b.at()));
@@ -102,7 +102,7 @@
         mSettings = settings;
         mLog = log;
         mSelf = new ProcessName(settings.vm(), new Random().nextLong());
-        mDuty = Duty.create("entry", RING, this, MonotonicClock.system(), TICK_NANOS);
+        mDuty = EventLoop.create("entry", RING, this, MonotonicClock.system(), TICK_NANOS);
         mTransport = transport();
         AsyncHttpClient caller = AsyncHttpClient.usingTransport(mTransport, this::onDroppedAnswer);
         mStore =
