--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/InstrumentedStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/InstrumentedStore.java
@@ -18,27 +18,27 @@
 import org.ebonyrun.ports.store.Transaction;
 
 /**
- * Counts the calls to a store by their kind, and tells which of them got no proper answer.
+ * Decorates a store: counts the calls by their kind and reports the calls that failed.
  *
- * <p>Watches are told of by whoever watches, since their silence is found late. Thread safe if the
- * store behind it is.
+ * <p>Watches are counted but their faults are not reported: a watch may wait for long before it
+ * fails, and {@link StoreWatch} reports its faults itself. Thread safe if the decorated store is.
  */
 final class InstrumentedStore implements SharedStore {
-    private final SharedStore mStore;
+    private final SharedStore mDelegate;
     private final Consumer<Fault> mOnFault;
     private final Map<String, LongAdder> mCounts = new ConcurrentHashMap<>();
 
     /**
-     * Observes the calls to a store.
+     * Decorates a store.
      *
-     * @param onFault hears of each call but a watch that got no proper answer, on any thread
+     * @param onFault receives the fault of each failed call except watches, on any thread
      */
     InstrumentedStore(SharedStore store, Consumer<Fault> onFault) {
-        mStore = store;
+        mDelegate = store;
         mOnFault = onFault;
     }
 
-    /** Returns how many calls of each kind were made. */
+    /** Returns the number of calls made, by kind. */
     Map<String, Long> counts() {
         Map<String, Long> counts = new TreeMap<>();
         mCounts.forEach((kind, count) -> counts.put(kind, count.sum()));
@@ -49,7 +49,7 @@
         mCounts.computeIfAbsent(kind, ignored -> new LongAdder()).increment();
     }
 
-    private <T> CompletableFuture<Result<T>> observed(CompletableFuture<Result<T>> call) {
+    private <T> CompletableFuture<Result<T>> reportingFaults(CompletableFuture<Result<T>> call) {
         return call.thenApply(
                 result ->
                         result.fold(
@@ -63,43 +63,43 @@
     @Override
     public CompletableFuture<Result<Optional<StoreItem>>> get(String key) {
         count("get");
-        return observed(mStore.get(key));
+        return reportingFaults(mDelegate.get(key));
     }
 
     @Override
     public CompletableFuture<Result<StorePage>> range(String prefix, String after) {
         count("range");
-        return observed(mStore.range(prefix, after));
+        return reportingFaults(mDelegate.range(prefix, after));
     }
 
     @Override
     public CompletableFuture<Result<StoreChanges>> watch(
             String prefix, long afterRevision, long waitMillis) {
         count("watch");
-        return mStore.watch(prefix, afterRevision, waitMillis);
+        return mDelegate.watch(prefix, afterRevision, waitMillis);
     }
 
     @Override
     public CompletableFuture<Result<CommitResult>> commit(Transaction transaction) {
         count("commit");
-        return observed(mStore.commit(transaction));
+        return reportingFaults(mDelegate.commit(transaction));
     }
 
     @Override
     public CompletableFuture<Result<StoreLease>> grant(long ttlMillis) {
         count("grant");
-        return observed(mStore.grant(ttlMillis));
+        return reportingFaults(mDelegate.grant(ttlMillis));
     }
 
     @Override
     public CompletableFuture<Result<Boolean>> renew(long lease) {
         count("renew");
-        return observed(mStore.renew(lease));
+        return reportingFaults(mDelegate.renew(lease));
     }
 
     @Override
     public CompletableFuture<Result<Boolean>> revoke(long lease) {
         count("end");
-        return observed(mStore.revoke(lease));
+        return reportingFaults(mDelegate.revoke(lease));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OwnedStep.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OwnedStep.java
@@ -5,16 +5,19 @@
 /**
  * A step that this entry owns.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class OwnedStep {
-    /** The revision of the owner's key, as this entry wrote it. */
+    /** The revision at which this entry last wrote the step's owner key. */
     long mOwnerRevision;
 
-    /** Whether its samples run; a new step first waits for texts of the step before. */
+    /** Whether its samples run. A new step may first wait for texts of the step before it. */
     boolean mRunning;
 
+    /** The results that are being stored; null if there are none. */
     @Nullable PendingResults mPending;
+
+    /** When a checkpoint was last due, by {@link System#nanoTime}. */
     long mLastCheckpointAt = System.nanoTime();
 
     OwnedStep(long revision) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultReader.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultReader.java
@@ -19,56 +19,63 @@
 import org.ebonyrun.ports.store.StoreItem;
 
 /**
- * Reads listed results: from memory where they are known, else from the shared store.
+ * Reads listed results, from memory if they are cached and from the shared store otherwise.
  *
- * <p>Invariants: a result in memory was acknowledged by the store, and has its position for good.
- * That a position has no result yet is said only if this was so at a moment after the read began:
- * by the owner while its ownership is certain, after a load, or after a watch that told no change.
- * The store may tell changes in parts, so a watch that told some does not show that there are no
- * more. So what any process has shown, every process shows from then on, or says that it is unsure.
+ * <p>Invariants:
  *
- * <p>Not thread safe; confined to the duty behind {@code executor}.
+ * <ul>
+ *   <li>A cached result was acknowledged by the store, and its position never changes.
+ *   <li>A read reports that a position has no result yet only if that was so at some moment after
+ *       the read began. Three sources show this: the owner's list while it is authoritative, a load
+ *       from the store, or a watch that returned no change. The store may return changes in parts,
+ *       so a watch that returned some changes does not show that there are no more.
+ * </ul>
+ *
+ * <p>Hence reads are monotonic across processes: once any process has returned a result, a later
+ * read at any process returns it too or ends with a fault.
+ *
+ * <p>Not thread safe; confined to the event loop behind {@code executor}.
  */
 final class ResultReader {
     private static final int MAX_STEPS = 24;
     private static final long MAX_WAIT_MILLIS = 1_000;
 
-    /** The steps that this process owns. */
+    /** Provides the steps that this process owns and the results that it has listed. */
     interface Ownership {
-        /** Returns whether this process owns a step, as far as it knows. */
+        /** Returns whether this process owns a step by its own, possibly outdated, state. */
         boolean owns(StepId step);
 
-        /** Returns whether the store has no results of a step but those that are listed here. */
+        /** Returns whether {@link #listedResults} certainly has every result that the store has. */
         boolean isAuthoritative(StepId step);
 
-        /** Returns the results that are listed of an owned step; empty if it is not owned. */
+        /** Returns the listed results of an owned step; empty if it is not owned. */
         List<SampleResult> listedResults(StepId step);
     }
 
-    /** How a read ends. */
+    /** Receives the outcome of a read: one call of one method. */
     interface Callback {
-        /** The results from the position on; empty if there are none yet. */
+        /** Called with the results from the position on; empty if there are none yet. */
         void onResults(List<SampleResult> results);
 
-        /** It is not known what the step holds. */
+        /** Called if the results could not be determined. */
         void onFault(Fault fault);
     }
 
-    /** The results of one step that are known here. */
-    private static final class Known {
+    /** The cached results of one step, from its first position on without a gap. */
+    private static final class CachedResults {
         final List<SampleResult> mResults = new ArrayList<>();
-        // The store's revision up to which changes are taken in; zero if a load must come first.
+        // The store revision up to which changes were applied; zero if a load must come first.
         long mRevision;
 
-        /** Adds results of a list that begins with those known here. */
+        /** Adds the new results of a list that starts with the cached ones. */
         void adopt(List<SampleResult> listed) {
             if (listed.size() > mResults.size()) {
                 mResults.addAll(listed.subList(mResults.size(), listed.size()));
             }
         }
 
-        /** Adds the results of a change; one that leaves a gap makes a load necessary. */
-        void extend(StoreChange change) {
+        /** Applies one change. A change that would leave a gap makes a load necessary. */
+        void apply(StoreChange change) {
             StoreItem item = change.item();
             if (item == null) {
                 return;
@@ -87,10 +94,10 @@
         }
     }
 
-    /** A read that has not ended. */
-    private record Read(StepId step, int samples, int from, long until, Callback reply) {
+    /** An open read. */
+    private record Read(StepId step, int samples, int from, long deadline, Callback callback) {
         long waitMillis(long now) {
-            return Math.max(0, Nanos.toMillis(until - now));
+            return Math.max(0, Nanos.toMillis(deadline - now));
         }
     }
 
@@ -100,8 +107,8 @@
     private final Executor mExecutor;
     private final MonotonicClock mClock;
     private final EventLog mLog;
-    private final Map<StepId, Known> mKnown = StepReader.newLruMap(MAX_STEPS);
-    // Reads that wait for this process, the owner, to list results.
+    private final Map<StepId, CachedResults> mCache = StepReader.newLruMap(MAX_STEPS);
+    // Reads of owned steps that wait until this process lists further results.
     private final List<Read> mWaiting = new ArrayList<>();
 
     ResultReader(
@@ -121,149 +128,150 @@
     /**
      * Reads results.
      *
-     * @param samples how many samples the step has
-     * @param from the position of the first result that is wanted
-     * @param waitMillis how long the read may wait for a result, in milliseconds
+     * @param samples the number of samples of the step
+     * @param from the position of the first result to return
+     * @param waitMillis how long the read may wait for a result, in milliseconds; at most one
+     *     second
      */
-    void read(StepId step, int samples, int from, long waitMillis, Callback reply) {
+    void read(StepId step, int samples, int from, long waitMillis, Callback callback) {
         long wait = Nanos.ofMillis(Math.min(waitMillis, MAX_WAIT_MILLIS));
-        proceed(new Read(step, samples, from, mClock.nanoTime() + wait, reply));
+        start(new Read(step, samples, from, mClock.nanoTime() + wait, callback));
     }
 
-    private void proceed(Read read) {
-        Known known = known(read.step());
-        known.adopt(mOwnership.listedResults(read.step()));
-        if (isAnswered(read, known)) {
-            answer(read, known);
+    private void start(Read read) {
+        CachedResults cached = cached(read.step());
+        cached.adopt(mOwnership.listedResults(read.step()));
+        if (isComplete(read, cached)) {
+            complete(read, cached);
         } else if (mOwnership.owns(read.step())) {
             mWaiting.add(read);
         } else {
-            askStore(read, known);
+            readFromStore(read, cached);
         }
     }
 
-    private void askStore(Read read, Known known) {
-        if (known.mRevision == 0) {
+    private void readFromStore(Read read, CachedResults cached) {
+        if (cached.mRevision == 0) {
             mStore.loadResults(read.step())
                     .thenAcceptAsync(result -> onLoaded(read, result), mExecutor);
         } else {
-            watch(read, known);
+            watch(read, cached);
         }
     }
 
-    private Known known(StepId step) {
-        return mKnown.computeIfAbsent(step, ignored -> new Known());
+    private CachedResults cached(StepId step) {
+        return mCache.computeIfAbsent(step, ignored -> new CachedResults());
     }
 
-    private static boolean isAnswered(Read read, Known known) {
-        return known.mResults.size() > read.from() || read.from() >= read.samples();
+    private static boolean isComplete(Read read, CachedResults cached) {
+        return cached.mResults.size() > read.from() || read.from() >= read.samples();
     }
 
-    private static void answer(Read read, Known known) {
-        read.reply().onResults(known.from(read.from()));
+    private static void complete(Read read, CachedResults cached) {
+        read.callback().onResults(cached.from(read.from()));
     }
 
     private void onLoaded(Read read, Result<StoredStep> result) {
         result.fold(
                 stored -> {
-                    Known known = known(read.step());
-                    known.adopt(stored.results());
-                    known.mRevision = Math.max(known.mRevision, stored.revision());
-                    if (isAnswered(read, known)) {
-                        answer(read, known);
+                    CachedResults cached = cached(read.step());
+                    cached.adopt(stored.results());
+                    cached.mRevision = Math.max(cached.mRevision, stored.revision());
+                    if (isComplete(read, cached)) {
+                        complete(read, cached);
                     } else if (read.waitMillis(mClock.nanoTime()) > 0) {
-                        watch(read, known);
+                        watch(read, cached);
                     } else {
-                        sayNone(read, "load", stored.revision());
+                        completeEmpty(read, "load", stored.revision());
                     }
                     return stored;
                 },
-                fault -> unsure(read, fault));
+                fault -> fail(read, fault));
     }
 
-    private void watch(Read read, Known known) {
+    private void watch(Read read, CachedResults cached) {
         long wait = Math.max(1, read.waitMillis(mClock.nanoTime()));
-        mShared.watch(StoreKeys.resultsPrefix(read.step()), known.mRevision, wait)
-                .thenAcceptAsync(result -> onWatched(read, known, result), mExecutor);
+        mShared.watch(StoreKeys.resultsPrefix(read.step()), cached.mRevision, wait)
+                .thenAcceptAsync(result -> onWatched(read, cached, result), mExecutor);
     }
 
-    private void onWatched(Read read, Known known, Result<StoreChanges> result) {
+    private void onWatched(Read read, CachedResults cached, Result<StoreChanges> result) {
         result.fold(
                 changes -> {
                     if (changes.historyCompacted()) {
-                        known.mRevision = 0;
+                        cached.mRevision = 0;
                     } else {
-                        take(known, changes);
+                        applyChanges(cached, changes);
                     }
-                    boolean all = !changes.historyCompacted() && changes.changes().isEmpty();
-                    if (isAnswered(read, known)) {
-                        answer(read, known);
-                    } else if (all && known.mRevision != 0) {
-                        sayNone(read, "watch", changes.revision());
+                    boolean noChanges = !changes.historyCompacted() && changes.changes().isEmpty();
+                    if (isComplete(read, cached)) {
+                        complete(read, cached);
+                    } else if (noChanges && cached.mRevision != 0) {
+                        completeEmpty(read, "watch", changes.revision());
                     } else {
-                        askStore(read, known);
+                        readFromStore(read, cached);
                     }
                     return changes;
                 },
-                fault -> unsure(read, fault));
+                fault -> fail(read, fault));
     }
 
-    private static void take(Known known, StoreChanges changes) {
-        // A load that another read has to make stays necessary.
-        if (known.mRevision != 0) {
-            known.mRevision = Math.max(known.mRevision, changes.revision());
+    private static void applyChanges(CachedResults cached, StoreChanges changes) {
+        // Zero marks a load that is still needed, so it must not be overwritten.
+        if (cached.mRevision != 0) {
+            cached.mRevision = Math.max(cached.mRevision, changes.revision());
         }
-        changes.changes().forEach(known::extend);
+        changes.changes().forEach(cached::apply);
     }
 
-    private void sayNone(Read read, String source, long revision) {
+    private void completeEmpty(Read read, String source, long revision) {
         mLog.write(
                 LogLine.of("step.read.none")
                         .with("step", read.step())
                         .with("from", read.from())
-                        .with("known", known(read.step()).mResults.size())
+                        .with("known", cached(read.step()).mResults.size())
                         .with("source", source)
                         .with("revision", revision));
-        read.reply().onResults(List.of());
+        read.callback().onResults(List.of());
     }
 
-    private static <T> T unsure(Read read, Fault fault) {
-        read.reply().onFault(fault);
+    private static <T> T fail(Read read, Fault fault) {
+        read.callback().onFault(fault);
         return null;
     }
 
-    /** Takes in what this process, the owner of a step, has listed. */
+    /** Caches results that this process has listed as the owner of a step. */
     void onListed(StepId step, List<SampleResult> listed) {
-        known(step).adopt(listed);
-        answerWaiting(mClock.nanoTime());
+        cached(step).adopt(listed);
+        completeWaiting(mClock.nanoTime());
     }
 
-    /** Ends reads that have waited long enough. */
+    /** Ends the wait of reads whose deadline has passed or whose step is no longer owned. */
     void onTick(long now) {
         if (!mWaiting.isEmpty()) {
-            answerWaiting(now);
+            completeWaiting(now);
         }
     }
 
-    private void answerWaiting(long now) {
-        List<Read> uncertain = new ArrayList<>();
+    private void completeWaiting(long now) {
+        List<Read> unresolved = new ArrayList<>();
         for (Iterator<Read> it = mWaiting.iterator(); it.hasNext(); ) {
             Read read = it.next();
-            Known known = known(read.step());
-            // The step may have been handed over and taken again meanwhile.
-            known.adopt(mOwnership.listedResults(read.step()));
-            boolean due = now - read.until() >= 0;
-            if (isAnswered(read, known)) {
+            CachedResults cached = cached(read.step());
+            // The step may have been handed over and claimed again since the read began.
+            cached.adopt(mOwnership.listedResults(read.step()));
+            boolean expired = now - read.deadline() >= 0;
+            if (isComplete(read, cached)) {
                 it.remove();
-                answer(read, known);
-            } else if (due && mOwnership.isAuthoritative(read.step())) {
+                complete(read, cached);
+            } else if (expired && mOwnership.isAuthoritative(read.step())) {
                 it.remove();
-                sayNone(read, "owner", known.mRevision);
-            } else if (due || !mOwnership.owns(read.step())) {
+                completeEmpty(read, "owner", cached.mRevision);
+            } else if (expired || !mOwnership.owns(read.step())) {
                 it.remove();
-                uncertain.add(read);
+                unresolved.add(read);
             }
         }
-        uncertain.forEach(read -> askStore(read, known(read.step())));
+        unresolved.forEach(read -> readFromStore(read, cached(read.step())));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
@@ -16,59 +16,62 @@
 import org.ebonyrun.ports.store.Transaction;
 
 /**
- * Stores results of owned steps, and texts of unfinished samples beside them.
+ * Stores results of owned steps, and checkpoints: texts of their unfinished samples.
  *
- * <p>Invariants: results are stored only by a transaction that expects the owner's key as this
- * entry wrote it; a transaction whose outcome is unknown is repeated unchanged until the store
- * tells.
+ * <p>Invariants: every transaction that stores results is fenced, that is, it commits only if the
+ * step's owner key still has the revision at which this entry wrote it. A transaction whose outcome
+ * is unknown is retried unchanged until the store reports an outcome.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class ResultWriter {
     private static final long RETRY_NANOS = Nanos.ofMillis(150);
-    // How often texts of unfinished samples are kept, and how long they must be. A lost owner then
-    // costs a long sample at most this time and the events of its last moments.
+    // The interval of checkpoints that need a store call of their own. If the owner is lost, a long
+    // sample generates again what it had since the last checkpoint: at most this interval and its
+    // last events.
     private static final long CHECKPOINT_NANOS = Nanos.ofMillis(800);
-    // The same for texts that travel with results, which costs no further call.
+    // Shorter for checkpoints in the same transaction as results, which need no further call.
     private static final long CHECKPOINT_WITH_RESULTS_NANOS = Nanos.ofMillis(400);
+    // The least number of events that a text must have to be part of a checkpoint.
     private static final int CHECKPOINT_EVENTS = 12;
+    // A larger checkpoint is not stored.
     private static final int CHECKPOINT_BYTES = 400_000;
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
-    /** Says who owns steps. */
+    /** Checks whether steps are still owned, and is notified when ownership ends. */
     interface Ownership {
-        /** Returns whether a step is still owned by the same claim. */
+        /** Returns whether a step is still owned, by the same claim as {@code owned}. */
         boolean isCurrent(StepId id, OwnedStep owned);
 
-        /** The last results of a step are stored. */
+        /** Called after the last results of a step were stored. */
         void onLastResultsStored(StepId id);
 
-        /** The step is no longer owned. */
+        /** Called when this entry finds that it no longer owns a step. */
         void onOwnershipLost(StepId id, String why);
     }
 
-    private final HostedContext mParts;
+    private final HostedContext mContext;
     private final StepStore mStore;
     private final StepMachine mMachine;
-    private final Ownership mOwner;
-    private final boolean mCheckpoints;
+    private final Ownership mOwnership;
+    private final boolean mCheckpointsEnabled;
 
-    ResultWriter(HostedContext parts, StepStore store, StepMachine machine, Ownership owner) {
-        mParts = parts;
+    ResultWriter(HostedContext context, StepStore store, StepMachine machine, Ownership ownership) {
+        mContext = context;
         mStore = store;
         mMachine = machine;
-        mOwner = owner;
-        mCheckpoints = parts.policy().isEnabled(Mechanism.CHECKPOINTS);
+        mOwnership = ownership;
+        mCheckpointsEnabled = context.policy().isEnabled(Mechanism.CHECKPOINTS);
     }
 
-    /** Repeats what the store did not answer, and keeps texts of steps that list nothing. */
+    /** Retries a store call that failed, or stores a checkpoint if one is due. */
     void onTick(StepId id, OwnedStep owned, long now) {
         PendingResults pending = owned.mPending;
-        if (mParts.isStoreUnavailable()) {
+        if (mContext.isStoreUnavailable()) {
             return;
         }
         if (pending == null) {
-            keep(id, owned, partialWhenDue(id, owned, CHECKPOINT_NANOS, now));
+            storeCheckpoint(id, owned, dueCheckpoint(id, owned, CHECKPOINT_NANOS, now));
         } else if (!pending.mInFlight && now - pending.mRetryAt >= 0) {
             send(id, owned);
         }
@@ -77,185 +80,195 @@
     /** Stores results. */
     void append(
             StepId id, OwnedStep owned, int position, List<SampleResult> results, boolean last) {
-        byte[] partial = NOTHING;
+        byte[] checkpoint = EMPTY;
         if (!last) {
             long now = System.nanoTime();
-            partial = partialWhenDue(id, owned, CHECKPOINT_WITH_RESULTS_NANOS, now);
+            checkpoint = dueCheckpoint(id, owned, CHECKPOINT_WITH_RESULTS_NANOS, now);
         }
-        owned.mPending = new PendingResults(position, StepCodec.results(results), partial, last);
+        owned.mPending = new PendingResults(position, StepCodec.results(results), checkpoint, last);
         send(id, owned);
     }
 
-    /** Returns the texts to keep now; empty if it is too soon or none are worth it. */
-    private byte[] partialWhenDue(StepId id, OwnedStep owned, long everyNanos, long now) {
-        if (!mCheckpoints || now - owned.mLastCheckpointAt < everyNanos) {
-            return NOTHING;
+    /** Returns the checkpoint if one is due; empty if none is, or if no text is long enough. */
+    private byte[] dueCheckpoint(StepId id, OwnedStep owned, long intervalNanos, long now) {
+        if (!mCheckpointsEnabled || now - owned.mLastCheckpointAt < intervalNanos) {
+            return EMPTY;
         }
         owned.mLastCheckpointAt = now;
         return encode(id, mMachine.checkpoints(id, CHECKPOINT_EVENTS));
     }
 
-    /** Returns texts as they are kept; empty if there are none or they take too much room. */
-    private byte[] encode(StepId id, List<SampleCheckpoint> texts) {
-        byte[] partial = texts.isEmpty() ? NOTHING : StepCodec.checkpoint(texts);
-        if (partial.length > CHECKPOINT_BYTES) {
-            logUnkept(id, "texts have " + partial.length + " bytes");
-            return NOTHING;
+    /** Encodes a checkpoint; returns an empty array if it has no texts or is too large. */
+    private byte[] encode(StepId id, List<SampleCheckpoint> checkpoints) {
+        byte[] checkpoint = checkpoints.isEmpty() ? EMPTY : StepCodec.checkpoint(checkpoints);
+        if (checkpoint.length > CHECKPOINT_BYTES) {
+            logCheckpointNotStored(id, "checkpoint too large: " + checkpoint.length + " bytes");
+            return EMPTY;
         }
-        return partial;
+        return checkpoint;
     }
 
-    /** Keeps texts of a step that has ended, for a later step that asks for them again. */
-    void storeCheckpoint(StepId id, OwnedStep owned, List<SampleCheckpoint> texts) {
-        keep(id, owned, encode(id, texts));
+    /** Stores the texts of a step that was ended, for a later step with the same samples. */
+    void storeCheckpoint(StepId id, OwnedStep owned, List<SampleCheckpoint> checkpoints) {
+        storeCheckpoint(id, owned, encode(id, checkpoints));
     }
 
-    /** Keeps texts, if there are any. A failure costs no more than a rerun. */
-    private void keep(StepId id, OwnedStep owned, byte[] partial) {
-        if (partial.length == 0) {
+    /**
+     * Stores a checkpoint unless it is empty. A failure is not retried: it only means that samples
+     * may have to be generated again.
+     */
+    private void storeCheckpoint(StepId id, OwnedStep owned, byte[] checkpoint) {
+        if (checkpoint.length == 0) {
             return;
         }
-        mStore.storeCheckpoint(id, owned.mOwnerRevision, partial)
+        mStore.storeCheckpoint(id, owned.mOwnerRevision, checkpoint)
                 .thenAcceptAsync(
                         result ->
                                 result.fold(
                                         commit -> commit,
                                         fault -> {
-                                            logUnkept(id, fault.detail());
+                                            logCheckpointNotStored(id, fault.detail());
                                             return null;
                                         }),
-                        mParts.executor());
+                        mContext.executor());
     }
 
-    private void logUnkept(StepId id, String why) {
-        mParts.log().write(LogLine.of("step.uncheckpointed").with("step", id).with("why", why));
+    private void logCheckpointNotStored(StepId id, String why) {
+        mContext.log().write(LogLine.of("step.uncheckpointed").with("step", id).with("why", why));
     }
 
     private void send(StepId id, OwnedStep owned) {
-        PendingResults append = owned.mPending;
-        if (append == null) {
+        PendingResults pending = owned.mPending;
+        if (pending == null) {
             return;
         }
-        append.mInFlight = true;
-        if (append.mNeedsClaim) {
-            claimAgain(id, owned, append);
+        pending.mInFlight = true;
+        if (pending.mNeedsClaim) {
+            reclaim(id, owned, pending);
             return;
         }
         mStore.appendResults(
                         id,
                         owned.mOwnerRevision,
-                        append.mPosition,
-                        append.mValue,
-                        append.mCheckpoint,
-                        append.mLast)
+                        pending.mPosition,
+                        pending.mValue,
+                        pending.mCheckpoint,
+                        pending.mLast)
                 .thenAcceptAsync(
-                        result -> onAppended(id, owned, append, result), mParts.executor());
+                        result -> onAppended(id, owned, pending, result), mContext.executor());
     }
 
     private void onAppended(
-            StepId id, OwnedStep owned, PendingResults append, Result<CommitResult> result) {
-        append.mInFlight = false;
-        if (!mOwner.isCurrent(id, owned)) {
+            StepId id, OwnedStep owned, PendingResults pending, Result<CommitResult> result) {
+        pending.mInFlight = false;
+        if (!mOwnership.isCurrent(id, owned)) {
             return;
         }
         result.fold(
                 commit -> {
-                    if (commit.isCommitted() || holds(commit, id, append)) {
-                        onStored(id, owned, append);
-                    } else if (ownerChanged(commit, id, owned)) {
-                        mOwner.onOwnershipLost(id, "another entry owns the step");
+                    if (commit.isCommitted() || isAlreadyStored(commit, id, pending)) {
+                        onStored(id, owned, pending);
+                    } else if (isOwnerChanged(commit, id, owned)) {
+                        mOwnership.onOwnershipLost(id, "another entry owns the step");
                     } else {
-                        append.mNeedsClaim = true;
+                        pending.mNeedsClaim = true;
                         send(id, owned);
                     }
                     return commit;
                 },
                 fault -> {
-                    append.mRetryAt = System.nanoTime() + RETRY_NANOS;
-                    mParts.log()
+                    pending.mRetryAt = System.nanoTime() + RETRY_NANOS;
+                    mContext.log()
                             .write(
                                     LogLine.of("step.store.retry")
                                             .with("step", id)
-                                            .with("position", append.mPosition)
+                                            .with("position", pending.mPosition)
                                             .with("fault", fault.detail()));
                     return null;
                 });
     }
 
-    private void onStored(StepId id, OwnedStep owned, PendingResults append) {
+    private void onStored(StepId id, OwnedStep owned, PendingResults pending) {
         owned.mPending = null;
         mMachine.onResultsStored(id, System.nanoTime());
-        if (append.mLast) {
-            mOwner.onLastResultsStored(id);
+        if (pending.mLast) {
+            mOwnership.onLastResultsStored(id);
         }
     }
 
-    /** Returns whether the conflict shows that the same results were stored before. */
-    private static boolean holds(CommitResult commit, StepId id, PendingResults append) {
-        String key = StoreKeys.resultKey(id, append.mPosition);
+    /** Returns whether a conflict shows that an earlier try has stored the same results. */
+    private static boolean isAlreadyStored(CommitResult commit, StepId id, PendingResults pending) {
+        String key = StoreKeys.resultKey(id, pending.mPosition);
         for (StoreItem item : commit.current()) {
-            if (item.key().equals(key) && Arrays.equals(item.value(), append.mValue)) {
+            if (item.key().equals(key) && Arrays.equals(item.value(), pending.mValue)) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean ownerChanged(CommitResult commit, StepId id, OwnedStep owned) {
+    /**
+     * Returns whether a conflict shows that another entry owns the step: the owner key has another
+     * revision, or another result has the position.
+     */
+    private boolean isOwnerChanged(CommitResult commit, StepId id, OwnedStep owned) {
         String key = StoreKeys.liveKey(id, StoreKeys.OWNER);
         String resultKey =
                 StoreKeys.resultKey(id, owned.mPending == null ? 0 : owned.mPending.mPosition);
         for (StoreItem item : commit.current()) {
-            boolean other = item.key().equals(key) && item.revision() != owned.mOwnerRevision;
-            if (other || item.key().equals(resultKey)) {
+            boolean ownerReplaced =
+                    item.key().equals(key) && item.revision() != owned.mOwnerRevision;
+            if (ownerReplaced || item.key().equals(resultKey)) {
                 return true;
             }
         }
         return false;
     }
 
-    private void claimAgain(StepId id, OwnedStep owned, PendingResults append) {
-        mParts.lease()
+    /** Claims the step again after its owner key has expired with the lease. */
+    private void reclaim(StepId id, OwnedStep owned, PendingResults pending) {
+        mContext.lease()
                 .acquire(
                         lease -> {
                             if (lease == 0) {
-                                append.mInFlight = false;
-                                append.mRetryAt = System.nanoTime() + RETRY_NANOS;
+                                pending.mInFlight = false;
+                                pending.mRetryAt = System.nanoTime() + RETRY_NANOS;
                                 return;
                             }
-                            mStore.claim(id, Transaction.ABSENT, mParts.self().format(), lease)
+                            mStore.claim(id, Transaction.ABSENT, mContext.self().format(), lease)
                                     .thenAcceptAsync(
-                                            result -> onClaimedAgain(id, owned, append, result),
-                                            mParts.executor());
+                                            result -> onReclaimed(id, owned, pending, result),
+                                            mContext.executor());
                         },
                         System.nanoTime());
     }
 
-    private void onClaimedAgain(
-            StepId id, OwnedStep owned, PendingResults append, Result<CommitResult> result) {
-        append.mInFlight = false;
-        if (!mOwner.isCurrent(id, owned)) {
+    private void onReclaimed(
+            StepId id, OwnedStep owned, PendingResults pending, Result<CommitResult> result) {
+        pending.mInFlight = false;
+        if (!mOwnership.isCurrent(id, owned)) {
             return;
         }
         result.fold(
                 commit -> {
                     if (commit.isCommitted()) {
                         owned.mOwnerRevision = commit.revision();
-                        append.mNeedsClaim = false;
+                        pending.mNeedsClaim = false;
                         send(id, owned);
-                    } else if (mParts.ownRevision(commit, id) != 0) {
-                        owned.mOwnerRevision = mParts.ownRevision(commit, id);
-                        append.mNeedsClaim = false;
+                    } else if (mContext.ownRevision(commit, id) != 0) {
+                        owned.mOwnerRevision = mContext.ownRevision(commit, id);
+                        pending.mNeedsClaim = false;
                         send(id, owned);
                     } else if (commit.outcome() == CommitOutcome.LEASE_ENDED) {
-                        append.mRetryAt = System.nanoTime() + RETRY_NANOS;
+                        pending.mRetryAt = System.nanoTime() + RETRY_NANOS;
                     } else {
-                        mOwner.onOwnershipLost(id, "another entry owns the step, or it is over");
+                        mOwnership.onOwnershipLost(
+                                id, "another entry owns the step, or it has ended");
                     }
                     return commit;
                 },
                 fault -> {
-                    append.mRetryAt = System.nanoTime() + RETRY_NANOS;
+                    pending.mRetryAt = System.nanoTime() + RETRY_NANOS;
                     return null;
                 });
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepCodec.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepCodec.java
@@ -10,8 +10,8 @@
 import org.ebonyrun.core.step.SampleResult;
 
 /**
- * Encodes what is kept of a step in the shared store. Stateless, thread safe. Decoders throw {@link
- * IllegalArgumentException} for what they can't read.
+ * Encodes and decodes the values that the shared store has of a step, as JSON. Stateless and thread
+ * safe. Decoders throw {@link IllegalArgumentException} if a value is malformed.
  */
 final class StepCodec {
     private StepCodec() {}
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepDirectory.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepDirectory.java
@@ -12,9 +12,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The steps that are kept in the shared store and who owns them, as the watch tells.
+ * The steps in the shared store and their owners, and the holder of the weight planner, as last
+ * seen by the watch on the live keys.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class StepDirectory {
     private final EventLog mLog;
@@ -25,71 +26,80 @@
         mLog = log;
     }
 
-    /** Returns what is known of a step; null if nothing is. */
+    /** Returns the status of a step; null if the step is not known. */
     @Nullable StepStatus get(StepId id) {
         return mSteps.get(id);
     }
 
-    /** Returns the key of the planner; null if there is none. */
+    /** Returns the planner's key with its holder; null if the key is absent. */
     @Nullable StoreItem planner() {
         return mPlanner;
     }
 
-    /** Returns the open steps that a process owns or may take. */
+    /** Returns the open steps that a process owns or may claim. */
     List<StepId> ownedOrClaimableBy(ProcessName self) {
-        List<StepId> concerning = new ArrayList<>();
+        List<StepId> found = new ArrayList<>();
         mSteps.forEach(
                 (id, step) -> {
                     if (step.isOwnedOrClaimableBy(self)) {
-                        concerning.add(id);
+                        found.add(id);
                     }
                 });
-        return concerning;
+        return found;
     }
 
-    /** Returns the steps that are over and were accepted before a time. */
+    /**
+     * Returns the steps that were ended or are done.
+     *
+     * @param acceptedBefore only steps accepted before this time are returned, in Unix milliseconds
+     */
     List<StepId> finishedSteps(long acceptedBefore) {
-        List<StepId> over = new ArrayList<>();
+        List<StepId> finished = new ArrayList<>();
         mSteps.forEach(
                 (id, step) -> {
                     StepManifest manifest = step.mManifest;
                     boolean old = manifest != null && manifest.acceptedAt() < acceptedBefore;
                     if (old && (step.mEnded || step.mDone)) {
-                        over.add(id);
+                        finished.add(id);
                     }
                 });
-        return over;
+        return finished;
     }
 
     /**
-     * Returns the newest step of the same trainer before one with this manifest, if it ended before
-     * every sample was listed; null if there is none.
+     * Returns the newest step of the same trainer with a lower number than a manifest's, unless
+     * every sample of it is listed; null if there is none.
      */
     @Nullable StepId findUnfinishedPredecessor(StepManifest manifest) {
-        StepId before = null;
-        int number = -1;
+        StepId predecessor = null;
+        int highest = -1;
         for (Map.Entry<StepId, StepStatus> entry : mSteps.entrySet()) {
             StepManifest other = entry.getValue().mManifest;
             boolean newer =
                     other != null
                             && other.isOfSameTrainer(manifest)
                             && other.number() < manifest.number()
-                            && other.number() > number;
+                            && other.number() > highest;
             if (newer) {
-                number = other.number();
-                before = entry.getValue().mDone ? null : entry.getKey();
+                highest = other.number();
+                predecessor = entry.getValue().mDone ? null : entry.getKey();
             }
         }
-        return before;
+        return predecessor;
     }
 
+    /** Replaces the whole content by the items of a snapshot. */
     void onSnapshot(List<StoreItem> items) {
         mSteps.clear();
         mPlanner = null;
         items.forEach(item -> onChange(new StoreChange(item.key(), item.revision(), item)));
     }
 
-    /** Takes a change in; returns the step that it concerns, or null. */
+    /**
+     * Applies the change of one key. A value that can't be decoded is logged and skipped.
+     *
+     * @return the step that the key belongs to; null if it belongs to none or can't be decoded
+     */
     @Nullable StepId onChange(StoreChange change) {
         String key = change.key();
         StoreItem item = change.item();
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
@@ -34,46 +34,55 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which steps this entry owns: accepts new ones, takes those whose owner is gone, and hands over.
+ * Manages the steps that this entry owns: accepts new steps, claims steps whose owner is gone, and
+ * hands steps over when the entry stops.
  *
- * <p>Invariant: a step is owned here only if the store has, or had, an owner's key that this
- * process wrote; of two processes that believe they own a step, the store lets one list results.
+ * <p>Ownership is a key in the shared store that is bound to the entry's lease and holds the name
+ * of the owner process. Every write of results is fenced by the revision of that key.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Invariant: a step counts as owned here only if the store has, or had, an owner key that this
+ * process wrote. Two processes may both count a step as owned for a while, but the fence lets only
+ * one of them list results.
+ *
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class StepOwnership implements ResultWriter.Ownership, ResultReader.Ownership {
     private static final long RETRY_NANOS = Nanos.ofMillis(150);
-    // Entries that own less take an orphan sooner.
+    // An entry claims a step without an owner after a delay that grows with the number of steps it
+    // owns, so that entries with fewer steps claim first. The jitter separates equal entries.
     private static final long CLAIM_BASE_NANOS = Nanos.ofMillis(20);
     private static final long CLAIM_PER_STEP_NANOS = Nanos.ofMillis(60);
     private static final long CLAIM_JITTER_NANOS = Nanos.ofMillis(40);
-    // How long a new step waits for texts of the step before it.
+    // How long a new step waits for the texts of the step before it to be loaded.
     private static final long CARRY_WAIT_NANOS = Nanos.ofMillis(150);
 
-    private final HostedContext mParts;
+    private final HostedContext mContext;
     private final StepStore mStore;
     private final StepMachine mMachine;
     private final RandomGenerator mRandom;
     private final Map<StepId, OwnedStep> mOwned = new HashMap<>();
+    // When to claim a step next, by System.nanoTime().
     private final Map<StepId, Long> mClaimAt = new HashMap<>();
+    // Steps that are being claimed or loaded.
     private final Set<StepId> mClaiming = new HashSet<>();
     private final Set<StepId> mAccepting = new HashSet<>();
-    private final Set<StepId> mOver = new HashSet<>();
+    // Steps whose last results are stored, until the watch shows that they are done.
+    private final Set<StepId> mDone = new HashSet<>();
     private final ResultWriter mWriter;
-    private final boolean mCarries;
+    private final boolean mCarriesTexts;
     private boolean mDraining;
 
     StepOwnership(
-            HostedContext parts, StepStore store, StepMachine machine, RandomGenerator random) {
-        mParts = parts;
+            HostedContext context, StepStore store, StepMachine machine, RandomGenerator random) {
+        mContext = context;
         mStore = store;
         mMachine = machine;
         mRandom = random;
-        mCarries = parts.policy().isEnabled(Mechanism.CARRIED_TEXTS);
-        mWriter = new ResultWriter(parts, store, machine, this);
+        mCarriesTexts = context.policy().isEnabled(Mechanism.CARRIED_TEXTS);
+        mWriter = new ResultWriter(context, store, machine, this);
     }
 
-    /** Returns whether this entry owns a step or is about to. */
+    /** Returns whether this entry needs its lease: it owns, accepts or claims a step. */
     boolean needsLease() {
         return !mOwned.isEmpty() || !mClaiming.isEmpty() || !mAccepting.isEmpty();
     }
@@ -87,7 +96,7 @@
     public boolean isAuthoritative(StepId id) {
         OwnedStep owned = mOwned.get(id);
         boolean stored = owned != null && owned.mPending == null;
-        return stored && mParts.lease().isValid(System.nanoTime());
+        return stored && mContext.lease().isValid(System.nanoTime());
     }
 
     int size() {
@@ -103,21 +112,22 @@
     /**
      * Accepts a step.
      *
-     * @param answer hears whether the store has the step now, or why not
+     * @param callback receives true once the store has the step; otherwise a fault, whose outcome
+     *     shows whether the store may still accept it
      */
     void accept(
             StepSpec spec,
             Route route,
             byte[] submission,
-            Consumer<Result<Boolean>> answer,
+            Consumer<Result<Boolean>> callback,
             long now) {
-        mParts.lease()
+        mContext.lease()
                 .acquire(
                         lease -> {
                             if (lease == 0) {
-                                answer.accept(Result.err(noLease()));
+                                callback.accept(Result.err(noLease()));
                             } else {
-                                accept(spec, route, submission, lease, answer);
+                                accept(spec, route, submission, lease, callback);
                             }
                         },
                         now);
@@ -125,7 +135,7 @@
 
     private static Fault noLease() {
         return Fault.notRun(
-                FaultCode.PLATFORM_UNAVAILABLE, "step.accept", "", "no lease can be had");
+                FaultCode.PLATFORM_UNAVAILABLE, "step.accept", "", "the entry has no valid lease");
     }
 
     private void accept(
@@ -133,7 +143,7 @@
             Route route,
             byte[] submission,
             long lease,
-            Consumer<Result<Boolean>> answer) {
+            Consumer<Result<Boolean>> callback) {
         long acceptedAt = System.currentTimeMillis();
         StepManifest manifest =
                 new StepManifest(
@@ -145,10 +155,10 @@
                         spec.samples().size(),
                         acceptedAt);
         mAccepting.add(spec.id());
-        mStore.accept(spec.id(), manifest, submission, mParts.self().format(), lease)
+        mStore.accept(spec.id(), manifest, submission, mContext.self().format(), lease)
                 .thenAcceptAsync(
-                        result -> onAccepted(spec, manifest, route, result, answer),
-                        mParts.executor());
+                        result -> onAccepted(spec, manifest, route, result, callback),
+                        mContext.executor());
     }
 
     private void onAccepted(
@@ -156,11 +166,11 @@
             StepManifest manifest,
             Route route,
             Result<CommitResult> result,
-            Consumer<Result<Boolean>> answer) {
+            Consumer<Result<Boolean>> callback) {
         mAccepting.remove(spec.id());
-        boolean unknown = result.fold(commit -> false, fault -> !fault.isNotRun());
-        if (unknown) {
-            readBack(spec.id(), result, answer);
+        boolean mayHaveRun = result.fold(commit -> false, fault -> !fault.isNotRun());
+        if (mayHaveRun) {
+            readBack(spec.id(), result, callback);
             return;
         }
         Result<Boolean> outcome =
@@ -174,31 +184,35 @@
                             }
                             return Result.ok(true);
                         });
-        answer.accept(outcome);
+        callback.accept(outcome);
     }
 
     /**
-     * Looks whether a step was accepted although the answer was lost. If it was, the watch tells
-     * who owns it; if it was not, it may still be, so the outcome stays unknown.
+     * Reads whether a step was accepted after the response to the transaction was lost. If it was,
+     * the watch will show its owner. If it was not, the transaction may still take effect, so the
+     * outcome stays unknown.
      */
-    private void readBack(StepId id, Result<CommitResult> lost, Consumer<Result<Boolean>> answer) {
+    private void readBack(
+            StepId id, Result<CommitResult> unknown, Consumer<Result<Boolean>> callback) {
         mStore.isAccepted(id)
                 .thenAcceptAsync(
                         result -> {
                             boolean accepted = result.fold(found -> found, fault -> false);
-                            mParts.log()
+                            mContext.log()
                                     .write(
                                             LogLine.of("step.readback")
                                                     .with("step", id)
                                                     .with("accepted", accepted));
-                            answer.accept(accepted ? Result.ok(true) : lost.map(commit -> false));
+                            callback.accept(
+                                    accepted ? Result.ok(true) : unknown.map(commit -> false));
                         },
-                        mParts.executor());
+                        mContext.executor());
     }
 
+    /** Begins to own an accepted step, which first waits for texts of an unfinished predecessor. */
     private void begin(StepSpec spec, StepManifest manifest, Route route, long revision) {
-        mParts.metrics().count(EntryMetrics.STEPS, "accepted");
-        mParts.log()
+        mContext.metrics().count(EntryMetrics.STEPS, "accepted");
+        mContext.log()
                 .write(
                         LogLine.of("step.owned")
                                 .with("step", spec.id())
@@ -209,21 +223,26 @@
                                 .with("fence", revision));
         OwnedStep owned = new OwnedStep(revision);
         mOwned.put(spec.id(), owned);
-        StepId before = mParts.directory().findUnfinishedPredecessor(manifest);
-        if (before == null || !mCarries) {
+        StepId predecessor = mContext.directory().findUnfinishedPredecessor(manifest);
+        if (predecessor == null || !mCarriesTexts) {
             run(spec, route, owned, List.of());
             return;
         }
-        mStore.load(before)
+        mStore.load(predecessor)
                 .thenAcceptAsync(
-                        result -> run(spec, route, owned, carried(spec, route, before, result)),
-                        mParts.executor());
-        mParts.schedule(CARRY_WAIT_NANOS, () -> run(spec, route, owned, List.of()));
-    }
-
-    /** Returns what the step before left for a step. A failure costs no more than a rerun. */
-    private List<SampleCheckpoint> carried(
-            StepSpec spec, Route route, StepId before, Result<StoredStep> result) {
+                        result ->
+                                run(
+                                        spec,
+                                        route,
+                                        owned,
+                                        usableTexts(spec, route, predecessor, result)),
+                        mContext.executor());
+        mContext.schedule(CARRY_WAIT_NANOS, () -> run(spec, route, owned, List.of()));
+    }
+
+    /** Returns the texts of an earlier step that a step can use; none if they can't be read. */
+    private List<SampleCheckpoint> usableTexts(
+            StepSpec spec, Route route, StepId predecessor, Result<StoredStep> result) {
         return result.fold(
                 stored -> {
                     List<SampleCheckpoint> texts =
@@ -232,36 +251,37 @@
                                     route.step().singleVersion(),
                                     stored.results(),
                                     stored.checkpoints());
-                    mParts.log()
+                    mContext.log()
                             .write(
                                     LogLine.of("step.carried")
                                             .with("step", spec.id())
-                                            .with("before", before)
+                                            .with("before", predecessor)
                                             .with("listed", stored.results().size())
                                             .with("partial", stored.checkpoints().size())
                                             .with("used", texts.size()));
                     return texts;
                 },
                 fault -> {
-                    mParts.log()
+                    mContext.log()
                             .write(
                                     LogLine.of("step.carried.unread")
                                             .with("step", spec.id())
-                                            .with("before", before)
+                                            .with("before", predecessor)
                                             .with("why", fault.detail()));
                     return List.of();
                 });
     }
 
-    /** Runs an accepted step, unless it runs or is no longer owned. */
-    private void run(StepSpec spec, Route route, OwnedStep owned, List<SampleCheckpoint> carried) {
+    /** Runs an accepted step, unless it runs already or is no longer owned. */
+    private void run(
+            StepSpec spec, Route route, OwnedStep owned, List<SampleCheckpoint> usableTexts) {
         if (isCurrent(spec.id(), owned) && !owned.mRunning) {
             owned.mRunning = true;
-            mMachine.onStepAcquired(spec, route, List.of(), carried, 0, System.nanoTime());
+            mMachine.onStepAcquired(spec, route, List.of(), usableTexts, 0, System.nanoTime());
         }
     }
 
-    /** Stores results. */
+    /** Stores results of a step; does nothing if it is no longer owned. */
     void append(StepId id, int position, List<SampleResult> results, boolean last) {
         OwnedStep owned = mOwned.get(id);
         if (owned != null) {
@@ -277,96 +297,100 @@
     @Override
     public void onLastResultsStored(StepId id) {
         mOwned.remove(id);
-        mOver.add(id);
-        mParts.metrics().count(EntryMetrics.STEPS, "done");
-        mParts.log().write(LogLine.of("step.done").with("step", id));
+        mDone.add(id);
+        mContext.metrics().count(EntryMetrics.STEPS, "done");
+        mContext.log().write(LogLine.of("step.done").with("step", id));
     }
 
     @Override
     public void onOwnershipLost(StepId id, String why) {
         mOwned.remove(id);
         mMachine.onOwnershipLost(id);
-        mParts.metrics().count(EntryMetrics.STEPS, "lost");
-        mParts.log().write(LogLine.of("step.lost").with("step", id).with("why", why));
+        mContext.metrics().count(EntryMetrics.STEPS, "lost");
+        mContext.log().write(LogLine.of("step.lost").with("step", id).with("why", why));
     }
 
-    /** Takes in what the watch says of a step. */
-    void onStatusChange(StepId id, @Nullable StepStatus known) {
-        if (known == null) {
+    /** Handles the status of a step as the watch shows it. */
+    void onStatusChange(StepId id, @Nullable StepStatus status) {
+        if (status == null) {
             return;
         }
         OwnedStep owned = mOwned.get(id);
-        if (known.mEnded && owned != null) {
+        if (status.mEnded && owned != null) {
             mOwned.remove(id);
             List<SampleCheckpoint> texts = mMachine.onStepEnded(id);
-            if (mCarries) {
+            if (mCarriesTexts) {
                 mWriter.storeCheckpoint(id, owned, texts);
             }
-            mParts.log()
+            mContext.log()
                     .write(
                             LogLine.of("step.ended")
                                     .with("step", id)
                                     .with("unlisted", texts.size()));
             return;
         }
-        boolean other =
+        boolean ownedByOther =
                 owned != null
-                        && known.mOwner != null
-                        && !known.mOwner.equals(mParts.self().format())
-                        && known.mOwnerRevision > owned.mOwnerRevision;
-        if (other) {
-            onOwnershipLost(id, "owned by " + known.mOwner);
+                        && status.mOwner != null
+                        && !status.mOwner.equals(mContext.self().format())
+                        && status.mOwnerRevision > owned.mOwnerRevision;
+        if (ownedByOther) {
+            onOwnershipLost(id, "owned by " + status.mOwner);
         }
     }
 
-    /** Retries what the store did not answer and takes steps that nobody owns. */
-    void onTick(List<StepId> concerning, long now) {
+    /**
+     * Retries failed store calls and, unless the entry drains, claims steps.
+     *
+     * @param ownedOrClaimable the open steps that this process owns or may claim
+     */
+    void onTick(List<StepId> ownedOrClaimable, long now) {
         mOwned.forEach((id, owned) -> mWriter.onTick(id, owned, now));
         if (mDraining) {
             return;
         }
-        Set<StepId> open = new HashSet<>(concerning);
+        Set<StepId> open = new HashSet<>(ownedOrClaimable);
         mClaimAt.keySet().retainAll(open);
-        mOver.retainAll(open);
-        for (StepId id : concerning) {
-            StepStatus known = mParts.directory().get(id);
-            if (known != null) {
-                seeTo(id, known, now);
+        mDone.retainAll(open);
+        for (StepId id : ownedOrClaimable) {
+            StepStatus status = mContext.directory().get(id);
+            if (status != null) {
+                ensureOwned(id, status, now);
             }
         }
     }
 
-    private void seeTo(StepId id, StepStatus known, long now) {
-        boolean named = mParts.self().format().equals(known.mOwner);
-        boolean busy = mClaiming.contains(id) || mAccepting.contains(id) || mOver.contains(id);
+    private void ensureOwned(StepId id, StepStatus status, long now) {
+        boolean ownerHere = mContext.self().format().equals(status.mOwner);
+        boolean busy = mClaiming.contains(id) || mAccepting.contains(id) || mDone.contains(id);
         if (mOwned.containsKey(id)) {
-            if (known.mOwner == null) {
-                reclaimOwn(id);
+            if (status.mOwner == null) {
+                reclaim(id);
             }
-        } else if (named && !busy) {
-            // A lost answer hid that this process took the step.
+        } else if (ownerHere && !busy) {
+            // The response to this process's claim was lost, but the claim took effect.
             mClaiming.add(id);
-            load(id, known.mOwnerRevision);
+            load(id, status.mOwnerRevision);
         } else if (!busy) {
             claimWhenDue(id, now);
         }
     }
 
-    /** Renews the ownership of a step whose owner's key lapsed with the lease. */
-    private void reclaimOwn(StepId id) {
+    /** Claims an owned step again after its owner key has expired with the lease. */
+    private void reclaim(StepId id) {
         if (!mClaiming.add(id)) {
             return;
         }
-        mParts.lease()
+        mContext.lease()
                 .acquire(
                         lease -> {
                             if (lease == 0) {
                                 mClaiming.remove(id);
                                 return;
                             }
-                            mStore.claim(id, Transaction.ABSENT, mParts.self().format(), lease)
+                            mStore.claim(id, Transaction.ABSENT, mContext.self().format(), lease)
                                     .thenAcceptAsync(
-                                            result -> onReclaimed(id, result), mParts.executor());
+                                            result -> onReclaimed(id, result), mContext.executor());
                         },
                         System.nanoTime());
     }
@@ -382,7 +406,7 @@
                     long revision =
                             commit.isCommitted()
                                     ? commit.revision()
-                                    : mParts.ownRevision(commit, id);
+                                    : mContext.ownRevision(commit, id);
                     if (revision != 0) {
                         owned.mOwnerRevision = Math.max(owned.mOwnerRevision, revision);
                     }
@@ -390,14 +414,18 @@
                 });
     }
 
+    /**
+     * Claims a step once its delay has passed. A step of an earlier process of this VM is claimed
+     * without delay, since no other entry may claim it.
+     */
     private void claimWhenDue(StepId id, long now) {
-        if (!mParts.hasConfiguration()) {
+        if (!mContext.hasConfiguration()) {
             return;
         }
         Long due = mClaimAt.get(id);
-        StepStatus known = mParts.directory().get(id);
-        boolean inherited = known != null && known.mOwner != null;
-        if (due == null && !inherited) {
+        StepStatus status = mContext.directory().get(id);
+        boolean ownedByEarlierProcess = status != null && status.mOwner != null;
+        if (due == null && !ownedByEarlierProcess) {
             long delay = CLAIM_BASE_NANOS + CLAIM_PER_STEP_NANOS * mOwned.size();
             mClaimAt.put(id, now + delay + mRandom.nextLong(CLAIM_JITTER_NANOS));
             return;
@@ -407,7 +435,7 @@
         }
         mClaimAt.put(id, now + RETRY_NANOS * 2);
         mClaiming.add(id);
-        mParts.lease()
+        mContext.lease()
                 .acquire(
                         lease -> {
                             if (lease == 0) {
@@ -420,16 +448,16 @@
     }
 
     private void claim(StepId id, long lease) {
-        StepStatus known = mParts.directory().get(id);
-        OptionalLong replaced =
-                known == null
+        StepStatus status = mContext.directory().get(id);
+        OptionalLong replacedRevision =
+                status == null
                         ? OptionalLong.empty()
-                        : mParts.self().expectedRevision(known.mOwner, known.mOwnerRevision);
-        if (replaced.isEmpty()) {
+                        : mContext.self().expectedRevision(status.mOwner, status.mOwnerRevision);
+        if (replacedRevision.isEmpty()) {
             mClaiming.remove(id);
             return;
         }
-        mStore.claim(id, replaced.getAsLong(), mParts.self().format(), lease)
+        mStore.claim(id, replacedRevision.getAsLong(), mContext.self().format(), lease)
                 .thenAcceptAsync(
                         result -> {
                             long revision =
@@ -437,7 +465,7 @@
                                             commit ->
                                                     commit.isCommitted()
                                                             ? commit.revision()
-                                                            : mParts.ownRevision(commit, id),
+                                                            : mContext.ownRevision(commit, id),
                                             fault -> 0L);
                             if (revision == 0) {
                                 mClaiming.remove(id);
@@ -445,7 +473,7 @@
                                 load(id, revision);
                             }
                         },
-                        mParts.executor());
+                        mContext.executor());
     }
 
     private void load(StepId id, long revision) {
@@ -458,38 +486,41 @@
                                             return true;
                                         },
                                         fault -> {
-                                            loadLater(id, revision, fault.detail());
+                                            retryLoad(id, revision, fault.detail());
                                             return false;
                                         }),
-                        mParts.executor());
+                        mContext.executor());
     }
 
-    private void loadLater(StepId id, long revision, String why) {
-        mParts.log().write(LogLine.of("step.unloaded").with("step", id).with("why", why));
-        mParts.schedule(RETRY_NANOS, () -> load(id, revision));
+    private void retryLoad(StepId id, long revision, String why) {
+        mContext.log().write(LogLine.of("step.unloaded").with("step", id).with("why", why));
+        mContext.schedule(RETRY_NANOS, () -> load(id, revision));
     }
 
-    /** Adopts a step once its route is known, or it is certain that the route was removed. */
+    /**
+     * Adopts a loaded step. If its route is not known, refreshes the routes first: a route that is
+     * still missing then was removed.
+     */
     private void onLoaded(StepId id, StoredStep stored, long revision) {
-        StepStatus known = mParts.directory().get(id);
-        StepManifest manifest = known == null ? null : known.mManifest;
-        if (manifest == null || mParts.routeOf(manifest).isPresent()) {
+        StepStatus status = mContext.directory().get(id);
+        StepManifest manifest = status == null ? null : status.mManifest;
+        if (manifest == null || mContext.routeOf(manifest).isPresent()) {
             adopt(id, stored, revision);
             mClaiming.remove(id);
             return;
         }
-        mParts.refreshRoutes(
+        mContext.refreshRoutes(
                 refreshed -> {
                     if (refreshed) {
                         adopt(id, stored, revision);
                         mClaiming.remove(id);
                     } else {
-                        loadLater(id, revision, "the configuration can't be read");
+                        retryLoad(id, revision, "the configuration could not be read");
                     }
                 });
     }
 
-    /** Returns a route without endpoints, for steps whose route was removed. */
+    /** Returns a route without endpoints, for a step whose route was removed. */
     private static Route closedRoute(StepManifest manifest) {
         return new Route(
                 "closed",
@@ -501,17 +532,18 @@
                 StepOptions.NONE);
     }
 
+    /** Begins to own a claimed step, with the results and checkpoint that the store has. */
     private void adopt(StepId id, StoredStep stored, long revision) {
-        StepStatus known = mParts.directory().get(id);
-        StepManifest manifest = known == null ? null : known.mManifest;
-        if (manifest == null || known.mEnded || mDraining) {
+        StepStatus status = mContext.directory().get(id);
+        StepManifest manifest = status == null ? null : status.mManifest;
+        if (manifest == null || status.mEnded || mDraining) {
             return;
         }
         StepSpec spec;
         try {
             spec = StepDecoder.decode(id, manifest.host(), manifest.prefix(), stored.submission());
         } catch (IllegalArgumentException e) {
-            mParts.log()
+            mContext.log()
                     .write(
                             LogLine.of("step.unreadable")
                                     .with("step", id)
@@ -519,16 +551,16 @@
             return;
         }
         if (stored.results().size() >= spec.samples().size()) {
-            // It was finished before; the key that says so is on its way here.
+            // Every sample is listed already; the watch has not shown the done marker yet.
             return;
         }
-        Route route = mParts.routeOf(manifest).orElseGet(() -> closedRoute(manifest));
+        Route route = mContext.routeOf(manifest).orElseGet(() -> closedRoute(manifest));
         long age = System.currentTimeMillis() - manifest.acceptedAt();
         OwnedStep owned = new OwnedStep(revision);
         owned.mRunning = true;
         mOwned.put(id, owned);
-        mParts.metrics().count(EntryMetrics.STEPS, "taken");
-        mParts.log()
+        mContext.metrics().count(EntryMetrics.STEPS, "taken");
+        mContext.log()
                 .write(
                         LogLine.of("step.taken")
                                 .with("step", id)
@@ -540,12 +572,12 @@
                 spec, route, stored.results(), stored.checkpoints(), age, System.nanoTime());
     }
 
-    /** Begins a graceful stop: takes no more steps. */
+    /** Begins a graceful stop: claims no more steps. */
     void onDrain() {
         mDraining = true;
     }
 
-    /** Hands all steps over, with the text that they have. */
+    /** Hands over all owned steps with checkpoints, except steps whose results are being stored. */
     void handOver() {
         for (StepId id : new ArrayList<>(mOwned.keySet())) {
             OwnedStep owned = mOwned.get(id);
@@ -553,7 +585,7 @@
                 continue;
             }
             mOwned.remove(id);
-            mParts.log().write(LogLine.of("step.handover").with("step", id));
+            mContext.log().write(LogLine.of("step.handover").with("step", id));
             mStore.release(id, owned.mOwnerRevision, mMachine.handOver(id));
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepReader.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepReader.java
@@ -22,65 +22,75 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Answers reads of steps at any entry.
+ * Serves reads of steps at any entry, whether it owns the step or not.
  *
- * <p>Invariant: that a step does not exist is said only after the store said so.
+ * <p>Invariant: a step is reported as missing only after a read of the store has shown it.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class StepReader {
     private static final int MAX_SUBMISSIONS = 4;
 
-    /** How a read ends. */
+    /** Responds to reads: one call of one method for each read. */
     interface ReadResponder {
-        /** Results from a position on. */
+        /**
+         * Responds with results.
+         *
+         * @param total the number of samples of the step
+         * @param from the position of the first result
+         */
         void sendResults(FrontExchange to, int total, int from, List<SampleResult> results);
 
-        /** The body of a sample. */
+        /** Responds with the body of a sample. */
         void sendBody(FrontExchange to, byte[] body);
 
-        /** The step or sample does not exist. */
+        /** Responds that the step or sample does not exist. */
         void sendNotFound(FrontExchange to, String what);
 
-        /** It is not known whether the step exists, or what it holds. */
+        /** Responds that the step's existence or content could not be determined. */
         void sendFault(FrontExchange to, Fault fault);
     }
 
-    private final HostedContext mParts;
+    private final HostedContext mContext;
     private final SharedStore mShared;
     private final StepStore mStore;
-    private final ReadResponder mAnswers;
+    private final ReadResponder mResponder;
     private final ResultReader mResults;
     private final Map<StepId, StepSpec> mSubmissions = newLruMap(MAX_SUBMISSIONS);
 
     StepReader(
-            HostedContext parts,
+            HostedContext context,
             SharedStore shared,
             StepStore store,
             ResultReader.Ownership owner,
-            ReadResponder answers) {
-        mParts = parts;
+            ReadResponder responder) {
+        mContext = context;
         mShared = shared;
         mStore = store;
-        mAnswers = answers;
+        mResponder = responder;
         mResults =
                 new ResultReader(
-                        shared, owner, parts.executor(), MonotonicClock.system(), parts.log());
+                        shared, owner, context.executor(), MonotonicClock.system(), context.log());
     }
 
-    /** Creates a map that keeps the steps that were used last. */
-    static <V> Map<StepId, V> newLruMap(int most) {
-        return new LinkedHashMap<>(most, 0.75f, true) {
+    /** Creates a map that evicts the least recently used step above a number of entries. */
+    static <V> Map<StepId, V> newLruMap(int maxSize) {
+        return new LinkedHashMap<>(maxSize, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<StepId, V> eldest) {
-                return size() > most;
+                return size() > maxSize;
             }
         };
     }
 
-    /** Reads results. */
+    /**
+     * Reads results.
+     *
+     * @param from the position of the first result
+     * @param waitMillis how long to wait if there is no such result yet, in milliseconds
+     */
     void read(StepId step, int from, long waitMillis, FrontExchange to) {
         withManifest(
                 step,
@@ -91,34 +101,34 @@
                                 manifest.samples(),
                                 from,
                                 waitMillis,
-                                reply(to, manifest.samples(), from)));
+                                callback(to, manifest.samples(), from)));
     }
 
-    private ResultReader.Callback reply(FrontExchange to, int total, int from) {
+    private ResultReader.Callback callback(FrontExchange to, int total, int from) {
         return new ResultReader.Callback() {
             @Override
             public void onResults(List<SampleResult> results) {
-                mAnswers.sendResults(to, total, from, results);
+                mResponder.sendResults(to, total, from, results);
             }
 
             @Override
             public void onFault(Fault fault) {
-                mAnswers.sendFault(to, fault);
+                mResponder.sendFault(to, fault);
             }
         };
     }
 
-    /** Takes in what the owner of a step, this entry, has listed. */
+    /** Caches results that this entry has listed as the owner of a step. */
     void onListed(StepId step, List<SampleResult> listed) {
         mResults.onListed(step, listed);
     }
 
-    /** Ends reads that have waited long enough. */
+    /** Ends the wait of reads whose deadline has passed. */
     void onTick(long now) {
         mResults.onTick(now);
     }
 
-    private static Fault unknown(String detail) {
+    private static Fault unreadable(String detail) {
         return Fault.notRun(FaultCode.PLATFORM_UNAVAILABLE, "step.read", "", detail);
     }
 
@@ -133,23 +143,24 @@
                                 manifest,
                                 (spec, fault) -> {
                                     if (fault != null) {
-                                        mAnswers.sendFault(to, fault);
+                                        mResponder.sendFault(to, fault);
                                     } else {
-                                        answerSample(spec, sample, to);
+                                        respondWithSample(spec, sample, to);
                                     }
                                 }));
     }
 
-    private void answerSample(StepSpec spec, String sample, FrontExchange to) {
+    private void respondWithSample(StepSpec spec, String sample, FrontExchange to) {
         for (SampleSpec candidate : spec.samples()) {
             if (candidate.id().equals(sample)) {
-                mAnswers.sendBody(to, candidate.body());
+                mResponder.sendBody(to, candidate.body());
                 return;
             }
         }
-        mAnswers.sendNotFound(to, "sample " + sample);
+        mResponder.sendNotFound(to, "sample " + sample);
     }
 
+    /** Passes {@code use} the submission of a step, or the fault for which it can't be read. */
     private void withSubmission(
             StepId step, StepManifest manifest, BiConsumer<StepSpec, @Nullable Fault> use) {
         StepSpec cached = mSubmissions.get(step);
@@ -173,7 +184,7 @@
                                         return null;
                                     });
                         },
-                        mParts.executor());
+                        mContext.executor());
     }
 
     private static Result<StepSpec> decode(StepId step, StepManifest manifest, StoredStep stored) {
@@ -182,25 +193,25 @@
                     StepDecoder.decode(
                             step, manifest.host(), manifest.prefix(), stored.submission()));
         } catch (IllegalArgumentException e) {
-            return Result.err(unknown("the stored step can't be read: " + e.getMessage()));
+            return Result.err(unreadable("the stored submission is malformed: " + e.getMessage()));
         }
     }
 
-    /** Remembers a submission whose bodies may be asked for. */
+    /** Caches a submission whose sample bodies may be read soon. */
     void onSubmitted(StepSpec spec) {
         mSubmissions.put(spec.id(), spec);
     }
 
-    /** Gives {@code use} the manifest of a step, or ends the read if there is none. */
+    /** Passes {@code use} the manifest of a step; responds to the read if it is missing. */
     void withManifest(StepId step, FrontExchange to, Consumer<StepManifest> use) {
-        StepStatus known = mParts.directory().get(step);
-        StepManifest manifest = known == null ? null : known.mManifest;
+        StepStatus status = mContext.directory().get(step);
+        StepManifest manifest = status == null ? null : status.mManifest;
         if (manifest != null) {
             use.accept(manifest);
             return;
         }
         mShared.get(StoreKeys.liveKey(step, StoreKeys.MANIFEST))
-                .thenAcceptAsync(result -> onManifest(step, to, use, result), mParts.executor());
+                .thenAcceptAsync(result -> onManifest(step, to, use, result), mContext.executor());
     }
 
     private void onManifest(
@@ -211,23 +222,23 @@
         result.fold(
                 item -> {
                     if (item.isEmpty()) {
-                        mAnswers.sendNotFound(to, "step " + step);
+                        mResponder.sendNotFound(to, "step " + step);
                         return item;
                     }
                     try {
                         use.accept(StepCodec.manifest(item.get().value()));
                     } catch (IllegalArgumentException e) {
-                        mParts.log()
+                        mContext.log()
                                 .write(
                                         LogLine.of("store.unreadable")
                                                 .with("key", item.get().key())
                                                 .with("why", e.getMessage()));
-                        mAnswers.sendFault(to, unknown("the manifest can't be read"));
+                        mResponder.sendFault(to, unreadable("the stored manifest is malformed"));
                     }
                     return item;
                 },
                 fault -> {
-                    mAnswers.sendFault(to, fault);
+                    mResponder.sendFault(to, fault);
                     return null;
                 });
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStatus.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStatus.java
@@ -3,9 +3,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the live keys of one step say.
+ * The status of one step as its live keys in the shared store show it: its manifest, its owner, and
+ * whether it was ended or is done.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class StepStatus {
     @Nullable StepManifest mManifest;
@@ -14,14 +15,15 @@
     boolean mEnded;
     boolean mDone;
 
-    /** Returns whether no live key of the step is left. */
+    /** Returns whether the store has no live key of the step. */
     boolean hasNoKeys() {
         return mManifest == null && mOwner == null && !mEnded && !mDone;
     }
 
     /**
-     * Returns whether a process must see to the step: nobody owns it, an earlier process of the
-     * same VM does, which can't run any more, or the process itself does.
+     * Returns whether the step is open and the process owns it or may claim it. A step may be
+     * claimed if it has no owner, or if its owner is an earlier process of the same VM, which can
+     * no longer be running.
      */
     boolean isOwnedOrClaimableBy(ProcessName self) {
         boolean open = mManifest != null && !mEnded && !mDone;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
@@ -20,15 +20,18 @@
 import org.ebonyrun.ports.store.Transaction;
 
 /**
- * Keeps steps in the shared store.
+ * Reads and writes steps in the shared store.
  *
- * <p>Thread safe; keeps no state. Invariants: a manifest is written only together with or after all
- * chunks of its submission; a result key is written once, by the owner at that time.
+ * <p>Invariants: a manifest is written only together with or after all chunks of its submission; a
+ * result key is written once, by the owner at that time.
+ *
+ * <p>Stateless and thread safe.
  */
 final class StepStore {
     private static final int CHUNK_BYTES = 600_000;
-    // Chunks that travel in one transaction with the manifest and the owner.
-    private static final int CHUNKS_AT_ONCE = 1;
+    // The number of chunks in the same transaction as the manifest and the owner. All others are
+    // written before.
+    private static final int CHUNKS_WITH_MANIFEST = 1;
 
     private final SharedStore mStore;
 
@@ -36,25 +39,30 @@
         mStore = store;
     }
 
-    /** Accepts a step for an owner, if it was not accepted before. */
+    /**
+     * Stores a new step and its owner, if the step was not accepted before.
+     *
+     * @param owner the name of the owner process
+     * @param lease the lease to which the owner key is bound
+     */
     CompletableFuture<Result<CommitResult>> accept(
             StepId id, StepManifest manifest, byte[] submission, String owner, long lease) {
         List<byte[]> chunks = split(submission);
-        CompletableFuture<Result<CommitResult>> before =
+        CompletableFuture<Result<CommitResult>> written =
                 CompletableFuture.completedFuture(Result.ok(null));
-        int last = chunks.size() - CHUNKS_AT_ONCE;
+        int last = chunks.size() - CHUNKS_WITH_MANIFEST;
         for (int i = 0; i < last; i++) {
             Transaction chunk =
                     Transaction.builder().write(StoreKeys.chunkKey(id, i), chunks.get(i)).build();
-            before =
-                    before.thenCompose(
+            written =
+                    written.thenCompose(
                             result ->
                                     result.isOk()
                                             ? mStore.commit(chunk)
                                             : CompletableFuture.completedFuture(result));
         }
         String manifestKey = StoreKeys.liveKey(id, StoreKeys.MANIFEST);
-        Transaction accept =
+        Transaction acceptance =
                 Transaction.builder()
                         .expect(manifestKey, Transaction.ABSENT)
                         .write(StoreKeys.chunkKey(id, last), chunks.get(last))
@@ -64,10 +72,10 @@
                                 owner.getBytes(StandardCharsets.UTF_8),
                                 lease)
                         .build();
-        return before.thenCompose(
+        return written.thenCompose(
                 result ->
                         result.isOk()
-                                ? mStore.commit(accept)
+                                ? mStore.commit(acceptance)
                                 : CompletableFuture.completedFuture(result));
     }
 
@@ -86,9 +94,11 @@
     }
 
     /**
-     * Takes a step.
+     * Claims a step that was neither ended nor is done.
      *
-     * @param ownerRevision the revision of the owner's key that is replaced, or absent
+     * @param ownerRevision the revision of the owner key to replace, or {@link Transaction#ABSENT}
+     * @param owner the name of the new owner process
+     * @param lease the lease to which the owner key is bound
      */
     CompletableFuture<Result<CommitResult>> claim(
             StepId id, long ownerRevision, String owner, long lease) {
@@ -103,16 +113,18 @@
     }
 
     /**
-     * Stores results from a position on, if the owner's key is unchanged.
+     * Stores results from a position on, if the owner key has the given revision and the position
+     * has no results yet.
      *
-     * @param partial texts of unfinished samples to keep with them; empty to leave them as they are
+     * @param checkpoint the checkpoint to store with them; empty to keep the stored one
+     * @param last whether these are the last results, which marks the step as done
      */
     CompletableFuture<Result<CommitResult>> appendResults(
             StepId id,
             long ownerRevision,
             int position,
             byte[] results,
-            byte[] partial,
+            byte[] checkpoint,
             boolean last) {
         String ownerKey = StoreKeys.liveKey(id, StoreKeys.OWNER);
         String resultKey = StoreKeys.resultKey(id, position);
@@ -121,8 +133,8 @@
                         .expect(ownerKey, ownerRevision)
                         .expect(resultKey, Transaction.ABSENT)
                         .write(resultKey, results);
-        if (partial.length > 0) {
-            transaction.write(StoreKeys.checkpointKey(id), partial);
+        if (checkpoint.length > 0) {
+            transaction.write(StoreKeys.checkpointKey(id), checkpoint);
         }
         if (last) {
             transaction.write(StoreKeys.liveKey(id, StoreKeys.DONE), new byte[] {'1'});
@@ -130,17 +142,17 @@
         return mStore.commit(transaction.build());
     }
 
-    /** Keeps texts of unfinished samples, if the owner's key is unchanged. */
+    /** Stores a checkpoint, if the owner key has the given revision. */
     CompletableFuture<Result<CommitResult>> storeCheckpoint(
-            StepId id, long ownerRevision, byte[] partial) {
+            StepId id, long ownerRevision, byte[] checkpoint) {
         return mStore.commit(
                 Transaction.builder()
                         .expect(StoreKeys.liveKey(id, StoreKeys.OWNER), ownerRevision)
-                        .write(StoreKeys.checkpointKey(id), partial)
+                        .write(StoreKeys.checkpointKey(id), checkpoint)
                         .build());
     }
 
-    /** Notes that the trainer ended a step. */
+    /** Marks a step as ended by its trainer. */
     CompletableFuture<Result<CommitResult>> markEnded(StepId id) {
         String key = StoreKeys.liveKey(id, StoreKeys.END);
         return mStore.commit(
@@ -150,20 +162,26 @@
                         .build());
     }
 
-    /** Hands a step over: keeps texts of unfinished samples and gives the ownership up. */
+    /**
+     * Hands a step over, if the owner key has the given revision: removes that key, so that another
+     * entry can claim the step, and stores a checkpoint unless it is too large.
+     */
     CompletableFuture<Result<CommitResult>> release(
-            StepId id, long ownerRevision, List<SampleCheckpoint> texts) {
+            StepId id, long ownerRevision, List<SampleCheckpoint> checkpoints) {
         String ownerKey = StoreKeys.liveKey(id, StoreKeys.OWNER);
         Transaction.Builder transaction =
                 Transaction.builder().expect(ownerKey, ownerRevision).remove(ownerKey);
-        byte[] partial = StepCodec.checkpoint(texts);
-        if (!texts.isEmpty() && partial.length <= CHUNK_BYTES) {
-            transaction.write(StoreKeys.checkpointKey(id), partial);
+        byte[] checkpoint = StepCodec.checkpoint(checkpoints);
+        if (!checkpoints.isEmpty() && checkpoint.length <= CHUNK_BYTES) {
+            transaction.write(StoreKeys.checkpointKey(id), checkpoint);
         }
         return mStore.commit(transaction.build());
     }
 
-    /** Removes everything that is kept of a step. */
+    /**
+     * Removes every key of a step, data keys first. If a call fails, the keys that are left stay; a
+     * repeated call removes them.
+     */
     CompletableFuture<Result<Void>> delete(StepId id) {
         List<String> live = new ArrayList<>();
         for (String part :
@@ -199,18 +217,23 @@
         return chain.thenApply(result -> result.map(commit -> null));
     }
 
-    /** Reads the bulk of a step. */
+    /** Reads all data of a step: the submission, the results and the checkpoint. */
     CompletableFuture<Result<StoredStep>> load(StepId id) {
         return readAll(StoreKeys.dataPrefix(id), "", new ArrayList<>(), 0)
-                .thenApply(result -> result.flatMap(StepStore::read));
+                .thenApply(result -> result.flatMap(StepStore::tryDecode));
     }
 
-    /** Reads the results of a step. */
+    /** Reads only the results of a step. */
     CompletableFuture<Result<StoredStep>> loadResults(StepId id) {
         return readAll(StoreKeys.resultsPrefix(id), "", new ArrayList<>(), 0)
-                .thenApply(result -> result.flatMap(StepStore::read));
+                .thenApply(result -> result.flatMap(StepStore::tryDecode));
     }
 
+    /**
+     * Reads all pages of a prefix into one.
+     *
+     * @param revision the revision of the first page; zero before it is read
+     */
     private CompletableFuture<Result<StorePage>> readAll(
             String prefix, String after, List<StoreItem> items, long revision) {
         return mStore.range(prefix, after)
@@ -238,30 +261,34 @@
                                                         Result.err(fault))));
     }
 
-    private static Result<StoredStep> read(StorePage page) {
+    private static Result<StoredStep> tryDecode(StorePage page) {
         try {
-            return Result.ok(stored(page));
+            return Result.ok(decode(page));
         } catch (IllegalArgumentException e) {
-            String detail = "stored values can't be read: " + e.getMessage();
+            String detail = "a stored value is malformed: " + e.getMessage();
             return Result.err(
                     Fault.unknown(FaultCode.PLATFORM_UNAVAILABLE, "step.load", "", detail));
         }
     }
 
-    /** Decodes what is kept of a step; throws {@link IllegalArgumentException} if it can't. */
-    private static StoredStep stored(StorePage page) {
+    /**
+     * Decodes the data of a step.
+     *
+     * @throws IllegalArgumentException if a value is malformed
+     */
+    private static StoredStep decode(StorePage page) {
         ByteArrayOutputStream submission = new ByteArrayOutputStream();
-        List<SampleResult> listed = new ArrayList<>();
-        List<SampleCheckpoint> partial = new ArrayList<>();
+        List<SampleResult> results = new ArrayList<>();
+        List<SampleCheckpoint> checkpoints = new ArrayList<>();
         for (StoreItem item : page.items()) {
             if (StoreKeys.isChunkKey(item.key())) {
                 submission.writeBytes(item.value());
             } else if (StoreKeys.isResultKey(item.key())) {
-                listed.addAll(StepCodec.results(item.value()));
+                results.addAll(StepCodec.results(item.value()));
             } else {
-                partial.addAll(StepCodec.checkpoint(item.value()));
+                checkpoints.addAll(StepCodec.checkpoint(item.value()));
             }
         }
-        return new StoredStep(submission.toByteArray(), listed, partial, page.revision());
+        return new StoredStep(submission.toByteArray(), results, checkpoints, page.revision());
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreHealth.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreHealth.java
@@ -3,44 +3,50 @@
 import org.ebonyrun.base.time.Nanos;
 
 /**
- * Tells whether the shared store answers, and asks it often while it does not.
+ * Tracks whether the shared store is available, and probes it while it is not.
  *
- * <p>Answers the load of an outage: callers whose steps were refused come back several times a
- * second, so each moment between the store's return and its notice costs refusals. One call every
- * {@link #PROBE_NANOS} finds the return, whatever the timeouts of other calls are.
+ * <p>During an outage, callers whose steps were refused retry several times a second, so every
+ * moment between the end of the outage and its detection costs refusals. A probe every {@link
+ * #PROBE_INTERVAL_NANOS} detects the end soon, independent of the timeouts of other calls.
  *
- * <p>Invariant: probes are sent only while there is doubt, and at most {@link #MAX_OPEN} are open.
+ * <p>Invariant: a probe is sent only after a call or watch has failed, or during an outage, and at
+ * most {@link #MAX_OPEN_PROBES} are open.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class StoreHealth {
-    /** The time between two probes while the store does not answer. */
+    /** The least time between two probes. */
     static final long PROBE_INTERVAL_NANOS = Nanos.ofMillis(250);
 
-    /** How many probes may be open. */
+    /** The maximum number of open probes. */
     static final int MAX_OPEN_PROBES = 4;
 
-    /** Carries out what the health of the store asks for. */
+    /** Sends probes and is notified of changes of the store's availability. */
     interface Listener {
         /**
-         * Sends a call to the store, to be answered with {@link #onProbeEnd}.
+         * Sends a call to the store; its outcome has to be passed to {@link #onProbeEnd}.
          *
-         * @param round the round in which it is sent
+         * @param round the round in which the probe is sent
          */
         void sendProbe(int round);
 
-        /** The store does not answer. */
+        /**
+         * Called when an outage begins.
+         *
+         * @param why the fault that showed it
+         */
         void onUnavailable(String why);
 
-        /** The store answers again. */
+        /** Called when an outage ends. */
         void onAvailable();
     }
 
     private final Listener mListener;
-    private boolean mAway;
-    private long mAwaySince;
+    private boolean mUnavailable;
+    private long mOutageSince;
+    // The number of outages that have ended. Faults of probes of an earlier round are ignored.
     private int mRound;
-    private int mOpen;
+    private int mOpenProbes;
     private boolean mProbed;
     private long mProbedAt;
 
@@ -48,51 +54,54 @@
         mListener = listener;
     }
 
-    /** Returns whether the store does not answer. */
+    /** Returns whether the store is unavailable. */
     boolean isUnavailable() {
-        return mAway;
+        return mUnavailable;
     }
 
-    /** Returns for how long the store has not answered, in nanoseconds; zero if it answers. */
+    /** Returns how long the outage has lasted, in nanoseconds; zero if the store is available. */
     long outageNanos(long now) {
-        return mAway ? now - mAwaySince : 0;
+        return mUnavailable ? now - mOutageSince : 0;
     }
 
-    /** Notes that a call got no proper answer, which says little of others: asks once. */
+    /**
+     * Handles the fault of a call other than a watch. One failed call does not show an outage, so
+     * the store is only probed.
+     */
     void onCallFault(long now) {
-        if (!mAway) {
-            probe(now);
+        if (!mUnavailable) {
+            probeIfDue(now);
         }
     }
 
-    /** Notes that a watch got no proper answer. */
+    /** Handles the fault of a watch, which begins an outage. */
     void onWatchFault(String why, long now) {
-        if (!mAway) {
-            mAway = true;
-            mAwaySince = now;
+        if (!mUnavailable) {
+            mUnavailable = true;
+            mOutageSince = now;
             mListener.onUnavailable(why);
-            probe(now);
+            probeIfDue(now);
         }
     }
 
-    /** Notes a proper answer. */
+    /** Handles a successful response, which ends an outage. */
     void onResponse() {
-        if (mAway) {
-            mAway = false;
+        if (mUnavailable) {
+            mUnavailable = false;
             mRound++;
             mListener.onAvailable();
         }
     }
 
     /**
-     * Notes how a probe ended. One that was sent before the store's return says nothing of the time
-     * after it.
+     * Handles the outcome of a probe. The fault of a probe that was sent before the last outage
+     * ended is ignored, since it does not show that the store is unavailable again.
      *
-     * @param round the round in which it was sent
-     * @param fault what went wrong; empty if the store answered
+     * @param round the round in which the probe was sent
+     * @param fault the fault; empty if the store responded
      */
     void onProbeEnd(int round, String fault, long now) {
-        mOpen--;
+        mOpenProbes--;
         if (fault.isEmpty()) {
             onResponse();
         } else if (round == mRound) {
@@ -100,19 +109,19 @@
         }
     }
 
-    /** Sends a probe when it is time. */
+    /** Sends a probe during an outage if one is due. */
     void onTick(long now) {
-        if (mAway) {
-            probe(now);
+        if (mUnavailable) {
+            probeIfDue(now);
         }
     }
 
-    private void probe(long now) {
+    private void probeIfDue(long now) {
         boolean due = !mProbed || now - mProbedAt >= PROBE_INTERVAL_NANOS;
-        if (due && mOpen < MAX_OPEN_PROBES) {
+        if (due && mOpenProbes < MAX_OPEN_PROBES) {
             mProbed = true;
             mProbedAt = now;
-            mOpen++;
+            mOpenProbes++;
             mListener.sendProbe(mRound);
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreKeys.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreKeys.java
@@ -2,72 +2,96 @@
 
 import org.ebonyrun.core.step.StepId;
 
-/** The keys of the shared store that this project uses. Stateless, thread safe. */
+/**
+ * The keys of the shared store that an entry uses for steps and for the weight planner. Stateless
+ * and thread safe.
+ *
+ * <p>A step has live keys and data keys. Live keys are small: the manifest, the owner, and two
+ * markers for a step that was ended or is done. Every entry watches them. Data keys hold the bulk:
+ * the chunks of the submission, the results and the checkpoint.
+ */
 final class StoreKeys {
-    /** The prefix of small keys that every entry watches. */
+    /** The prefix of the live keys. */
     static final String LIVE_PREFIX = "ebonyrun/live/";
 
-    /** The holder of the weight planner. */
+    /** The key of the process that runs the weight planner. */
     static final String PLANNER = LIVE_PREFIX + "planner";
 
-    /** When the planner ordered which endpoint; read by the next holder only. */
+    /** The key of the times of the planner's orders; read only by the planner's next holder. */
     static final String ORDERS = "ebonyrun/planner/orders";
 
+    /** The part of a live key under which the {@link StepManifest} is stored. */
     static final String MANIFEST = "manifest";
+
+    /** The part of a live key under which the owner's process name is stored, with its lease. */
     static final String OWNER = "owner";
+
+    /** The part of a live key that marks a step as ended by its trainer. */
     static final String END = "end";
+
+    /** The part of a live key that marks a step as done: every sample is listed. */
     static final String DONE = "done";
 
-    private static final int DIGITS = 8;
-    private static final String STEP = LIVE_PREFIX + "step/";
-    private static final String DATA = "ebonyrun/data/";
+    private static final int NUMBER_DIGITS = 8;
+    private static final String STEP_PREFIX = LIVE_PREFIX + "step/";
+    private static final String DATA_PREFIX = "ebonyrun/data/";
 
     private StoreKeys() {}
 
+    /** Returns the live key of one part of a step. */
     static String liveKey(StepId step, String part) {
-        return STEP + step + "/" + part;
+        return STEP_PREFIX + step + "/" + part;
     }
 
-    /** Returns whether a key belongs to a step. */
+    /** Returns whether a key is a live key of a step. */
     static boolean isLiveStepKey(String key) {
-        return key.startsWith(STEP) && key.indexOf('/', STEP.length()) > STEP.length();
+        return key.startsWith(STEP_PREFIX)
+                && key.indexOf('/', STEP_PREFIX.length()) > STEP_PREFIX.length();
     }
 
+    /** Returns the step of a live key. */
     static StepId stepId(String key) {
-        return StepId.of(key.substring(STEP.length(), key.indexOf('/', STEP.length())));
+        return StepId.of(
+                key.substring(STEP_PREFIX.length(), key.indexOf('/', STEP_PREFIX.length())));
     }
 
+    /** Returns the part of a live key: {@link #MANIFEST}, {@link #OWNER} and so on. */
     static String part(String key) {
-        return key.substring(key.indexOf('/', STEP.length()) + 1);
+        return key.substring(key.indexOf('/', STEP_PREFIX.length()) + 1);
     }
 
+    /** Returns the prefix of all data keys of a step. */
     static String dataPrefix(StepId step) {
-        return DATA + step + "/";
+        return DATA_PREFIX + step + "/";
     }
 
+    /** Returns the key of a chunk of a step's submission. */
     static String chunkKey(StepId step, int number) {
         return dataPrefix(step) + "chunk/" + padded(number);
     }
 
+    /** Returns the prefix of the keys of a step's results. */
     static String resultsPrefix(StepId step) {
         return dataPrefix(step) + "result/";
     }
 
+    /** Returns the key of the results from a position on that are stored together. */
     static String resultKey(StepId step, int position) {
         return resultsPrefix(step) + padded(position);
     }
 
-    /** Returns the position of the first result under a key. */
+    /** Returns the position of the first result that a result key holds. */
     static int resultPosition(String resultKey) {
         return Integer.parseInt(resultKey.substring(resultKey.lastIndexOf('/') + 1));
     }
 
-    /** Returns a number with leading zeros, so that keys sort by it. */
+    /** Returns a number with leading zeros, so that keys sort in the order of their numbers. */
     private static String padded(int number) {
         String digits = Integer.toString(number);
-        return "0".repeat(Math.max(0, DIGITS - digits.length())) + digits;
+        return "0".repeat(Math.max(0, NUMBER_DIGITS - digits.length())) + digits;
     }
 
+    /** Returns the key of the texts of a step's unfinished samples. */
     static String checkpointKey(StepId step) {
         return dataPrefix(step) + "partial";
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreWatch.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreWatch.java
@@ -14,140 +14,148 @@
 import org.ebonyrun.ports.store.StorePage;
 
 /**
- * Follows the keys of one prefix: reads them all, then waits for changes; reads them all again when
- * the store no longer knows what changed.
+ * Watches the keys of one prefix: reads a snapshot, then waits for changes with long polls; reads a
+ * new snapshot when the store no longer has the history of changes.
  *
- * <p>A call is answered after at most the wait of its {@link Timing}, so a connection that fell
- * silent is noticed within that time and a short slack. After a fault the watch rests until it is
- * told that the store is back.
+ * <p>The store responds to a poll after at most the wait of the {@link Timing}, so a connection
+ * that went silent is detected within that time and a short slack. After a fault the watch makes no
+ * calls until {@link #onStoreAvailable}.
  *
- * <p>Not thread safe; every callback and method runs on the duty behind {@code executor}.
+ * <p>Not thread safe; every callback and method runs on the event loop behind {@code executor}.
  */
 final class StoreWatch {
-    // The first wait after a fault: a store that has dropped what changed may say so only when the
-    // wait is over.
+    // The wait of the first poll after a fault. It is short because a store that has lost its
+    // history may report this only at the end of the wait.
     private static final long WAIT_AFTER_FAULT_MILLIS = 200;
-    // The least time between a call that failed and the next.
+    // The least time between a failed or abandoned call and the next one.
     private static final long RETRY_NANOS = Nanos.ofMillis(250);
+    // Bounds a snapshot to this many pages of 500 items.
     private static final int MAX_PAGES = 1_000;
 
     /**
-     * How often a watch calls the store.
+     * How long a watch waits for changes and batches them.
      *
-     * @param waitMillis how long a call waits for a change, in milliseconds
-     * @param gatherNanos how long to wait after a change, so that those that follow come with one
-     *     call, in nanoseconds
+     * @param waitMillis how long a poll waits for a change, in milliseconds
+     * @param batchNanos how long to wait after a change before the next poll, so that one poll
+     *     returns all changes of that time, in nanoseconds
      */
     record Timing(long waitMillis, long batchNanos) {}
 
-    /** Hears what a watch finds. */
+    /** Receives snapshots, changes and the outcome of calls. */
     interface Listener {
-        /** All keys of the prefix, after the first read and after a gap. */
+        /** Called with all keys of the prefix: first, and whenever changes may have been missed. */
         void onSnapshot(List<StoreItem> items);
 
-        /** One change. */
+        /** Called for each change. */
         void onChange(StoreChange change);
 
-        /** The store answered. */
+        /** Called when a call succeeded, before what it returned is passed on. */
         void onResponse();
 
-        /** The store did not answer as it should. */
+        /** Called when a call failed. */
         void onFault(Fault fault);
     }
 
     private final SharedStore mStore;
     private final String mPrefix;
-    private final Supplier<Timing> mPace;
+    private final Supplier<Timing> mTiming;
     private final Executor mExecutor;
     private final Listener mListener;
+    // Whether a snapshot has been read.
     private boolean mSynced;
-    private boolean mWaiting;
-    private boolean mFaulty;
-    private boolean mHurried;
+    // Whether a call is in flight.
+    private boolean mInFlight;
+    // Whether the last call failed.
+    private boolean mFailed;
+    // Whether the next poll has the short wait after a fault.
+    private boolean mShortWait;
     private long mCalledAt;
-    private int mCalls;
-    private boolean mGathering;
-    private long mChangedAt;
+    // The number of the last call; responses to earlier calls are ignored.
+    private int mCallNumber;
+    // Whether changes are being batched.
+    private boolean mBatching;
+    private long mBatchStart;
     private boolean mResuming;
     private long mResumeAt;
+    // The store revision after which changes are missing; zero before the first snapshot.
     private long mRevision;
 
     /**
-     * Creates a watch that does not follow yet.
+     * Creates a watch; {@link #start} begins it.
      *
-     * @param pace how often to call the store at present
+     * @param timing supplies the timing to use at present
      */
     StoreWatch(
             SharedStore store,
             String prefix,
-            Supplier<Timing> pace,
+            Supplier<Timing> timing,
             Executor executor,
             Listener listener) {
         mStore = store;
         mPrefix = prefix;
-        mPace = pace;
+        mTiming = timing;
         mExecutor = executor;
         mListener = listener;
     }
 
-    /** Begins to follow. */
+    /** Begins to watch. */
     void start() {
-        read("", new ArrayList<>(), 0);
+        readSnapshot("", new ArrayList<>(), 0);
     }
 
-    /** Returns whether all keys have been read once. */
+    /** Returns whether a snapshot has been read. */
     boolean isSynced() {
         return mSynced;
     }
 
-    /** Goes on after a change, or after the store's return. */
+    /** Makes the next call if one is due after batching or after an outage. */
     void onTick(long now) {
-        if (mGathering && now - mChangedAt >= mPace.get().batchNanos()) {
-            mGathering = false;
-            follow();
+        if (mBatching && now - mBatchStart >= mTiming.get().batchNanos()) {
+            mBatching = false;
+            poll();
         } else if (mResuming && now - mResumeAt >= 0) {
             mResuming = false;
             if (mRevision == 0) {
                 start();
             } else {
-                follow();
+                poll();
             }
         }
     }
 
     /**
-     * Goes on after the store's return: asks again after a fault, and abandons a call that waits,
-     * since its answer may have been lost meanwhile.
+     * Resumes the watch after an outage of the store. A call in flight is abandoned, since its
+     * response may have been lost during the outage.
      */
     void onStoreAvailable() {
-        if (mFaulty || mWaiting) {
-            mFaulty = false;
-            mHurried = true;
-            mWaiting = false;
-            mCalls++;
+        if (mFailed || mInFlight) {
+            mFailed = false;
+            mShortWait = true;
+            mInFlight = false;
+            mCallNumber++;
             mResuming = true;
             mResumeAt = mCalledAt + RETRY_NANOS;
         }
     }
 
-    private void read(String after, List<StoreItem> items, long revision) {
-        int call = begin();
+    private void readSnapshot(String after, List<StoreItem> items, long revision) {
+        int call = beginCall();
         mStore.range(mPrefix, after)
                 .thenAcceptAsync(result -> onPage(call, result, items, revision), mExecutor);
     }
 
-    /** Notes that a call is made; returns its number. */
-    private int begin() {
-        mWaiting = true;
+    /** Records that a call is made; returns its number. */
+    private int beginCall() {
+        mInFlight = true;
         mCalledAt = System.nanoTime();
-        return ++mCalls;
+        return ++mCallNumber;
     }
 
     private void onPage(int call, Result<StorePage> result, List<StoreItem> items, long revision) {
-        if (call != mCalls) {
+        if (call != mCallNumber) {
             return;
         }
-        mWaiting = false;
+        mInFlight = false;
         result.fold(
                 page -> {
                     mListener.onResponse();
@@ -156,31 +164,31 @@
                     long first = revision == 0 ? page.revision() : revision;
                     boolean more = page.truncated() && !page.items().isEmpty();
                     if (more && items.size() < MAX_PAGES * 500) {
-                        read(items.get(items.size() - 1).key(), items, first);
+                        readSnapshot(items.get(items.size() - 1).key(), items, first);
                     } else {
                         mRevision = first;
                         mSynced = true;
                         mListener.onSnapshot(items);
-                        follow();
+                        poll();
                     }
                     return page;
                 },
                 this::onFault);
     }
 
-    private void follow() {
-        int call = begin();
-        long wait = mHurried ? WAIT_AFTER_FAULT_MILLIS : mPace.get().waitMillis();
-        mHurried = false;
+    private void poll() {
+        int call = beginCall();
+        long wait = mShortWait ? WAIT_AFTER_FAULT_MILLIS : mTiming.get().waitMillis();
+        mShortWait = false;
         mStore.watch(mPrefix, mRevision, wait)
                 .thenAcceptAsync(result -> onChanges(call, result), mExecutor);
     }
 
     private void onChanges(int call, Result<StoreChanges> result) {
-        if (call != mCalls) {
+        if (call != mCallNumber) {
             return;
         }
-        mWaiting = false;
+        mInFlight = false;
         result.fold(
                 changes -> {
                     mListener.onResponse();
@@ -191,10 +199,10 @@
                         changes.changes().forEach(mListener::onChange);
                         mRevision = Math.max(mRevision, changes.revision());
                         if (changes.changes().isEmpty()) {
-                            follow();
+                            poll();
                         } else {
-                            mGathering = true;
-                            mChangedAt = System.nanoTime();
+                            mBatching = true;
+                            mBatchStart = System.nanoTime();
                         }
                     }
                     return changes;
@@ -203,7 +211,7 @@
     }
 
     private <T> T onFault(Fault fault) {
-        mFaulty = true;
+        mFailed = true;
         mListener.onFault(fault);
         return null;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoredStep.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoredStep.java
@@ -5,12 +5,12 @@
 import org.ebonyrun.core.step.SampleResult;
 
 /**
- * The bulk of a step as it is kept in the shared store.
+ * The data of a step that was read from the shared store, except its manifest.
  *
- * @param submission the submission as it came
- * @param listed the results in the order of their positions
- * @param partial texts that an earlier owner handed over
- * @param revision the store's revision at which this was read
+ * @param submission the body of the submission, as it was received
+ * @param results the listed results in the order of their positions
+ * @param checkpoints the texts of unfinished samples, as an owner last stored them
+ * @param revision the store revision at which the first page of this was read
  */
 record StoredStep(
         byte[] submission,
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
@@ -24,23 +24,24 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * Two entries whose only endpoint may answer a request twice.
+ * Two entries with one endpoint, which may send duplicate or delayed responses.
  *
- * <p>Waits are looks at an entry that no endpoint hears of, so they don't touch its connections.
+ * <p>The tests wait by polling an entry with requests that reach no endpoint, so that the polls
+ * don't touch the connections between entry and endpoint.
  */
 abstract class DuplicateResponseFixture extends HostedFixture {
-    // Long enough for the entry to try a request again, which takes it some of its ticks.
+    // Enough polls for the entry to retry a request, which takes some of its ticks.
     static final int RETRY_POLLS = 600;
-    private static final int MOST_PAGES = 60;
-    // Above the time for which an entry may keep an endpoint whose record is gone.
-    private static final int MOST_WARM_CALLS = 40_000;
+    private static final int MAX_PAGES = 60;
+    // Enough to outlast the time for which an entry may keep an endpoint whose record was removed.
+    private static final int MAX_WARM_UP_CALLS = 40_000;
     private static final long CALLER_MILLIS = 19_000;
     private static final int OK = 200;
 
     StutteringEndpoint mEndpoint;
 
     @BeforeEach
-    void replaceTheEndpoint() throws IOException {
+    void replaceEndpoint() throws IOException {
         mEndpoint = StutteringEndpoint.start("i-2", mScene.events(), Stutter.never());
         mScene.unregister("i-1");
         mScene.register(mEndpoint.id(), mEndpoint.address(), "ready", 1);
@@ -49,14 +50,14 @@
     }
 
     @AfterEach
-    void closeTheEndpoint() throws IOException {
+    void closeEndpoint() throws IOException {
         mEndpoint.close();
     }
 
     /** Sends calls to an entry until an endpoint has received one. */
     void callUntilServedBy(String front, StutteringEndpoint endpoint) {
         boolean served = false;
-        for (int i = 0; i < MOST_WARM_CALLS && !served; i++) {
+        for (int i = 0; i < MAX_WARM_UP_CALLS && !served; i++) {
             String id = "warm-" + front + "-" + i;
             send(front, "POST", mScene.callPath(), id, "warm");
             served = !endpoint.received(id).isEmpty();
@@ -64,7 +65,7 @@
         assertThat(front + " uses " + endpoint.id(), served, is(true));
     }
 
-    /** Sends a call whose caller waits for long. */
+    /** Sends a call with a deadline that the tests don't reach. */
     CompletableFuture<HttpResponse> sendAsync(String front, String path, String id, String body) {
         return sendAsync(front, path, id, body, CALLER_MILLIS);
     }
@@ -84,42 +85,45 @@
                         result -> result.fold(r -> r, fault -> new HttpResponse(0, new byte[0])));
     }
 
-    /** Looks at an entry until something holds, at most a number of times. */
-    void pollUntil(int most, BooleanSupplier wanted) {
-        for (int i = 0; i < most && !wanted.getAsBoolean(); i++) {
+    /** Polls an entry until a condition holds, at most a number of times. */
+    void pollUntil(int maxPolls, BooleanSupplier condition) {
+        for (int i = 0; i < maxPolls && !condition.getAsBoolean(); i++) {
             send(mSecondFront, "POST", "/none/1", "look", "");
         }
     }
 
     /**
-     * Waits for the answer to a call, and releases what the endpoint holds back once the entry had
-     * time to send the call once more.
+     * Waits for the response to a call. Releases the responses that the endpoint holds back once
+     * the entry had time to send the call a second time.
      */
-    HttpResponse awaitResponse(CompletableFuture<HttpResponse> asked, String id) {
-        pollUntil(RETRY_POLLS, () -> asked.isDone() || mEndpoint.runs(id).size() > 1);
+    HttpResponse awaitResponse(CompletableFuture<HttpResponse> response, String id) {
+        pollUntil(RETRY_POLLS, () -> response.isDone() || mEndpoint.runs(id).size() > 1);
         mEndpoint.release();
-        return asked.join();
+        return response.join();
     }
 
     void submit(String front, String step, String body) {
         assertThat(step, send(front, "POST", mScene.stepPath(), step, body).status(), is(202));
     }
 
-    /** Reads results of a step until there are as many as wanted. */
-    List<JsonNode> readResults(String front, String step, int wanted) {
+    /** Reads results of a step until an expected number is listed. */
+    List<JsonNode> readResults(String front, String step, int expected) {
         List<JsonNode> results = new ArrayList<>();
-        for (int i = 0; i < MOST_PAGES && results.size() < wanted; i++) {
+        for (int i = 0; i < MAX_PAGES && results.size() < expected; i++) {
             String path = mScene.resultsPath(step, results.size());
             HttpResponse page = send(front, "GET", path, "", "");
             if (page.isSuccess()) {
                 JsonTrees.read(page.body()).path("results").forEach(results::add);
             }
         }
-        assertThat(step + " lists " + results, results.size(), is(wanted));
+        assertThat(step + " lists " + results, results.size(), is(expected));
         return results;
     }
 
-    /** Checks that a text is whole and that each of its pieces goes on where its run began. */
+    /**
+     * Checks that a text has every event and that each of its parts starts at the event from which
+     * the endpoint was asked to continue.
+     */
     static void checkText(JsonNode result, int events, List<Received> received) {
         String sample = result.path("id").asText();
         String text = result.path("text").asText();
@@ -135,13 +139,13 @@
             assertThat(why, event.number(), is(i + 1));
             if (!event.run().equals(run)) {
                 run = event.run();
-                assertThat(why + ", run " + run, begin(run, received), is(i));
+                assertThat(why + ", run " + run, firstEvent(run, received), is(i));
             }
         }
     }
 
-    /** Returns the event after which a run was asked to go on. */
-    private static int begin(String run, List<Received> received) {
+    /** Returns the event after which a run was asked to continue. */
+    private static int firstEvent(String run, List<Received> received) {
         return received.stream()
                 .filter(r -> r.run().equals(run))
                 .mapToInt(r -> r.request().lastEvent())
@@ -149,8 +153,9 @@
                 .orElseThrow(() -> new AssertionError("no run " + run));
     }
 
-    static void checkEchoed(HttpResponse reply, String body) {
-        assertThat("status of the answer", reply.status(), is(OK));
-        assertThat("body of the answer", reply.text(), is(body));
+    /** Checks that a call got the response to itself, which echoes its body. */
+    static void checkEchoed(HttpResponse response, String body) {
+        assertThat("status of the response", response.status(), is(OK));
+        assertThat("body of the response", response.text(), is(body));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
@@ -32,36 +32,40 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Plays calls and steps in a seeded order while two endpoints answer twice in all ways, and
- * compares what callers and trainers were told with what the endpoints did.
+ * Runs calls and steps in a seeded order while two endpoints send duplicate and delayed responses
+ * of all kinds, and compares what callers and trainers received with what the endpoints did.
+ *
+ * <p>Guards against a response that is taken for the response to another request.
  */
 class DuplicateResponseSoakTest extends DuplicateResponseFixture {
-    /** The number of seeds that are played. */
+    /** The system property for the number of seeds to run. */
     private static final String SEEDS = "ebonyrun.stutter.seeds";
 
-    /** The first seed that is played. */
+    /** The system property for the first seed to run. */
     private static final String FIRST_SEED = "ebonyrun.stutter.first";
 
     private static final long DEFAULT_SEEDS = 3;
     private static final int ACTIONS = 120;
-    private static final int MOST_OPEN_CALLS = 6;
-    private static final int MOST_OPEN_STEPS = 3;
-    private static final int MOST_SAMPLES = 4;
+    private static final int MAX_OPEN_CALLS = 6;
+    private static final int MAX_OPEN_STEPS = 3;
+    private static final int MAX_SAMPLES = 4;
     private static final int VERSION = 3;
-    private static final int MOST_FAILURES = 3;
-    private static final int MOST_LOOKS = 10_000;
-    // Enough for the planner to order each endpoint after failures.
-    private static final int VERSION_LOOKS = 20_000;
-    private static final int LOOKS_TO_RELEASE = 250;
-    private static final int MOST_READS = 600;
+    // An entry abandons a sample after this many failures.
+    private static final int MAX_FAILURES = 3;
+    private static final int MAX_POLLS = 10_000;
+    // Enough polls for the planner to order every endpoint even if some orders fail.
+    private static final int VERSION_POLLS = 20_000;
+    private static final int POLLS_TO_RELEASE = 250;
+    private static final int MAX_READS = 600;
     private static final int READS_TO_RELEASE = 4;
     private static final long DEADLINE_MILLIS = 3_000;
-    private static final String SPARED = "look";
+    // The key prefix of requests that always get one response at once.
+    private static final String SINGLE_RESPONSE_PREFIX = "look";
     private static final List<Integer> STATUSES = List.of(200, 422, 500, 502, 503, 504);
 
     /** A call that was sent. */
     private record Call(
-            String id, boolean onceOnly, String body, CompletableFuture<HttpResponse> answer) {}
+            String id, boolean onceOnly, String body, CompletableFuture<HttpResponse> response) {}
 
     /** A step that was submitted. */
     private record Step(String id, List<String> samples, boolean scored) {}
@@ -74,7 +78,7 @@
     private final List<List<JsonNode>> mListed = new ArrayList<>();
     private StutteringEndpoint mOther;
     private Random mRandom;
-    private int mLooks;
+    private int mPolls;
 
     static LongStream seeds() {
         long first = Long.getLong(FIRST_SEED, 1);
@@ -82,7 +86,7 @@
     }
 
     @AfterEach
-    void closeTheOther() throws IOException {
+    void closeOtherEndpoint() throws IOException {
         if (mOther != null) {
             mOther.close();
         }
@@ -90,15 +94,15 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void callersAndTrainersAreToldWhatTheEndpointsDid(long seed) throws IOException {
+    void responsesMatchWhatTheEndpointsDid(long seed) throws IOException {
         mRandom = new Random(seed);
         mOther = StutteringEndpoint.start("i-3", mScene.events(), Stutter.never());
         mScene.register(mOther.id(), mOther.address(), "ready", 1);
-        mEndpoint.stutter(Stutter.seeded(mRandom.nextLong(), SPARED));
-        mOther.stutter(Stutter.seeded(mRandom.nextLong(), SPARED));
-        int namedAt = mRandom.nextInt(ACTIONS);
+        mEndpoint.stutter(Stutter.seeded(mRandom.nextLong(), SINGLE_RESPONSE_PREFIX));
+        mOther.stutter(Stutter.seeded(mRandom.nextLong(), SINGLE_RESPONSE_PREFIX));
+        int versionAt = mRandom.nextInt(ACTIONS);
         for (int i = 0; i < ACTIONS; i++) {
-            if (i == namedAt) {
+            if (i == versionAt) {
                 mScene.nameVersion(VERSION);
             }
             act("s" + seed + "-" + i);
@@ -115,25 +119,25 @@
 
     private void act(String id) {
         switch (mRandom.nextInt(8)) {
-            case 0 -> step(id);
+            case 0 -> submitStep(id);
             case 1, 2, 3 -> call(id, true);
             case 4, 5 -> call(id, false);
-            case 6 -> look();
+            case 6 -> poll();
             default -> {
                 if (!mOpenCalls.isEmpty()) {
                     awaitOldest();
                 }
             }
         }
-        while (mOpenCalls.size() > MOST_OPEN_CALLS) {
+        while (mOpenCalls.size() > MAX_OPEN_CALLS) {
             awaitOldest();
         }
-        while (mOpenSteps.size() > MOST_OPEN_STEPS) {
+        while (mOpenSteps.size() > MAX_OPEN_STEPS) {
             readOldest();
         }
     }
 
-    private String front() {
+    private String anyFront() {
         return mRandom.nextBoolean() ? mFirstFront : mSecondFront;
     }
 
@@ -141,20 +145,25 @@
         String body = "body of " + id;
         String path = onceOnly ? mScene.onceOnlyPath() : mScene.callPath();
         Call call =
-                new Call(id, onceOnly, body, sendAsync(front(), path, id, body, DEADLINE_MILLIS));
+                new Call(
+                        id, onceOnly, body, sendAsync(anyFront(), path, id, body, DEADLINE_MILLIS));
         mCalls.add(call);
         mOpenCalls.add(call);
     }
 
-    /** Sends a call that endpoints answer once; it counts for what they hold back. */
-    private void look() {
-        String id = SPARED + "-" + ++mLooks;
+    /**
+     * Sends a call that gets one response. Like any request, it counts for responses that are held
+     * back for a number of requests; every {@link #POLLS_TO_RELEASE} polls, all held ones are
+     * released.
+     */
+    private void poll() {
+        String id = SINGLE_RESPONSE_PREFIX + "-" + ++mPolls;
         String body = "body of " + id;
-        HttpResponse reply = send(front(), "POST", mScene.callPath(), id, body);
-        if (reply.isSuccess()) {
-            assertThat(id, reply.text(), is(body));
+        HttpResponse response = send(anyFront(), "POST", mScene.callPath(), id, body);
+        if (response.isSuccess()) {
+            assertThat(id, response.text(), is(body));
         }
-        if (mLooks % LOOKS_TO_RELEASE == 0) {
+        if (mPolls % POLLS_TO_RELEASE == 0) {
             release();
         }
     }
@@ -166,28 +175,28 @@
 
     private void awaitOldest() {
         Call call = mOpenCalls.remove();
-        for (int i = 0; i < MOST_LOOKS && !call.answer().isDone(); i++) {
-            look();
+        for (int i = 0; i < MAX_POLLS && !call.response().isDone(); i++) {
+            poll();
         }
-        call.answer().join();
+        call.response().join();
     }
 
-    /** Submits a step; some ask for a sample again that an earlier one had. */
-    private void step(String id) {
+    /** Submits a step; some steps repeat a sample of an earlier step. */
+    private void submitStep(String id) {
         List<String> samples = new ArrayList<>();
-        int count = 1 + mRandom.nextInt(MOST_SAMPLES);
+        int count = 1 + mRandom.nextInt(MAX_SAMPLES);
         for (int i = 0; i < count; i++) {
             samples.add("p" + i + "-" + id);
         }
-        boolean again = mRandom.nextInt(3) == 0;
-        if (again && !mSamples.isEmpty()) {
+        boolean repeats = mRandom.nextInt(3) == 0;
+        if (repeats && !mSamples.isEmpty()) {
             samples.add(mSamples.get(mRandom.nextInt(mSamples.size())));
         }
         boolean scored = mRandom.nextBoolean();
         String body = mScene.stepBody(mSteps.size() + 1, samples, scored);
         int status = 0;
         for (int i = 0; i < MAX_TRIES && status != 202; i++) {
-            status = send(front(), "POST", mScene.stepPath(), id, body).status();
+            status = send(anyFront(), "POST", mScene.stepPath(), id, body).status();
         }
         assertThat(id, status, is(202));
         Step step = new Step(id, samples, scored);
@@ -195,31 +204,31 @@
         mOpenSteps.add(step);
     }
 
-    /** Reads a step to its end; its samples may be asked for again from then on. */
+    /** Reads a step to its end; from then on later steps may repeat its samples. */
     private void readOldest() {
         Step step = mOpenSteps.remove();
-        mListed.add(readAll(step, this::front));
+        mListed.add(readAll(step, this::anyFront));
         mSamples.addAll(step.samples());
     }
 
     private List<JsonNode> readAll(Step step, Supplier<String> front) {
         List<JsonNode> results = new ArrayList<>();
-        int wanted = step.samples().size();
-        for (int i = 0; i < MOST_READS && results.size() < wanted; i++) {
+        int expected = step.samples().size();
+        for (int i = 0; i < MAX_READS && results.size() < expected; i++) {
             results.addAll(page(front.get(), step.id(), results.size()));
             if (i % READS_TO_RELEASE == 0) {
                 release();
             }
         }
-        assertThat(step + " lists " + results, results.size(), is(wanted));
+        assertThat(step + " lists " + results, results.size(), is(expected));
         return results;
     }
 
     private List<JsonNode> page(String front, String step, int from) {
         List<JsonNode> results = new ArrayList<>();
-        HttpResponse reply = send(front, "GET", mScene.resultsPath(step, from), "", "");
-        if (reply.isSuccess()) {
-            JsonTrees.read(reply.body()).path("results").forEach(results::add);
+        HttpResponse response = send(front, "GET", mScene.resultsPath(step, from), "", "");
+        if (response.isSuccess()) {
+            JsonTrees.read(response.body()).path("results").forEach(results::add);
         }
         return results;
     }
@@ -233,7 +242,7 @@
         return received(key).stream().filter(Received::ran).toList();
     }
 
-    private List<Integer> given(String key) {
+    private List<Integer> runStatuses(String key) {
         return runs(key).stream().map(Received::status).toList();
     }
 
@@ -250,11 +259,11 @@
             checks.add(() -> assertThat(readAll(step, () -> mFirstFront), is(listed)));
             checks.add(() -> assertThat(readAll(step, () -> mSecondFront), is(listed)));
         }
-        // From here on an order that is given is carried out; one that isn't given stays away.
+        // From here on endpoints carry out every order, so a wrong version means a missing order.
         mEndpoint.stutter(Stutter.never());
         mOther.stutter(Stutter.never());
         pollUntil(
-                VERSION_LOOKS, () -> mEndpoint.version() >= VERSION && mOther.version() >= VERSION);
+                VERSION_POLLS, () -> mEndpoint.version() >= VERSION && mOther.version() >= VERSION);
         for (StutteringEndpoint endpoint : List.of(mEndpoint, mOther)) {
             String id = endpoint.id();
             checks.add(() -> assertThat(id, endpoint.version(), is(VERSION)));
@@ -264,22 +273,22 @@
     }
 
     private void check(String why, Call call) {
-        HttpResponse reply = call.answer().join();
-        List<Integer> given = given(call.id());
-        String full = why + " answered " + reply.status() + ", runs " + runs(call.id());
-        assertThat(full, reply.status(), is(in(STATUSES)));
+        HttpResponse response = call.response().join();
+        List<Integer> statuses = runStatuses(call.id());
+        String full = why + " answered " + response.status() + ", runs " + runs(call.id());
+        assertThat(full, response.status(), is(in(STATUSES)));
         if (call.onceOnly()) {
-            assertThat(full, given.size(), is(lessThanOrEqualTo(1)));
+            assertThat(full, statuses.size(), is(lessThanOrEqualTo(1)));
         }
-        switch (reply.status()) {
+        switch (response.status()) {
             case 200 -> {
-                assertThat(full, reply.text(), is(call.body()));
-                assertThat(full, given, hasItem(200));
+                assertThat(full, response.text(), is(call.body()));
+                assertThat(full, statuses, hasItem(200));
             }
-            case 503 -> assertThat(full, given, is(List.of()));
-            case 422, 500 -> assertThat(full, given, hasItem(reply.status()));
+            case 503 -> assertThat(full, statuses, is(List.of()));
+            case 422, 500 -> assertThat(full, statuses, hasItem(response.status()));
             default -> {
-                // Promises nothing.
+                // After 502 or 504 the call may or may not have run.
             }
         }
     }
@@ -289,25 +298,25 @@
         assertThat(why, sample, is(in(step.samples())));
         String scorer = StandinScene.scoreId(sample);
         if (result.path("state").asText().equals("dead")) {
-            boolean impossible = given(sample).contains(422);
+            boolean impossible = runStatuses(sample).contains(422);
             int failures = Math.max(failures(sample), step.scored() ? failures(scorer) : 0);
             if (!impossible) {
-                assertThat(why, failures, is(greaterThanOrEqualTo(MOST_FAILURES)));
+                assertThat(why, failures, is(greaterThanOrEqualTo(MAX_FAILURES)));
             }
             return;
         }
         checkText(result, mScene.events(), received(sample));
         if (step.scored()) {
             String score = result.path("score").asText();
-            long made =
+            long matching =
                     runs(scorer).stream()
                             .filter(r -> r.status() == 200 && score.endsWith("#" + r.run()))
                             .count();
-            assertThat(why + ", scored in " + runs(scorer), made, is(greaterThan(0L)));
+            assertThat(why + ", scored in " + runs(scorer), matching, is(greaterThan(0L)));
         }
     }
 
     private int failures(String key) {
-        return (int) given(key).stream().filter(status -> status == 500).count();
+        return (int) runStatuses(key).stream().filter(status -> status == 500).count();
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
@@ -21,47 +21,52 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What callers and trainers see of an endpoint that answers requests twice. */
+/**
+ * Checks what callers and trainers receive if an endpoint sends duplicate or delayed responses. A
+ * duplicate may reach the entry when the connection already carries a later request, and must not
+ * be taken for the response to that request.
+ */
 class DuplicateResponseTest extends DuplicateResponseFixture {
-    // Enough looks for the planner, which tries an order again after a part of a second.
-    private static final int PLANNER_LOOKS = 15_000;
-    // Over before an entry tries a refused call again.
+    // Enough polls for the planner, which retries an order after a fraction of a second.
+    private static final int PLANNER_POLLS = 15_000;
+    // Passes before an entry retries a rejected call.
     private static final long SHORT_DEADLINE_MILLIS = 30;
     private static final int SHORT_CALLS = 5;
     private static final Plan RUN = Plan.of(Reply.RUN);
-    private static final Plan TWICE = RUN.repeated(Repeat.LATE);
-    // Answers this late that an entry which took another answer for it has gone on by then.
-    private static final Plan LAGGING = RUN.held(Hold.BEHIND_ANOTHER, Stutter.UNTIL_RELEASED);
+    private static final Plan DUPLICATED = RUN.repeated(Repeat.LATE);
+    // Responds behind a duplicate so late that an entry which took the duplicate for this response
+    // has already acted on it.
+    private static final Plan DELAYED = RUN.held(Hold.BEHIND_ANOTHER, Stutter.UNTIL_RELEASED);
 
     @Test
-    void aCallThatRunsOnceIsNotRunAgainBecauseItsRefusalComesTwice() {
-        Plan refusal = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE);
-        mEndpoint.stutter(Stutter.scripted(Map.of("u1", List.of(refusal, LAGGING))));
-        HttpResponse reply =
+    void nonIdempotentCallRunsOnceDespiteDuplicateRejection() {
+        Plan rejection = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE);
+        mEndpoint.stutter(Stutter.scripted(Map.of("u1", List.of(rejection, DELAYED))));
+        HttpResponse response =
                 awaitResponse(sendAsync(mFirstFront, mScene.onceOnlyPath(), "u1", "pay"), "u1");
 
         assertThat("runs of the call", mEndpoint.runs("u1").size(), is(1));
-        checkEchoed(reply, "pay");
+        checkEchoed(response, "pay");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {60, 70, 80, 90, 100, 110, 120, 130})
-    void aCallThatRunsIsNotRefusedAtItsDeadlineBecauseItsRefusalComesTwice(long deadlineMillis) {
-        Plan refusal = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE);
-        mEndpoint.stutter(request -> request.sentBefore() == 0 ? refusal : LAGGING);
+    void runningCallIsNotRefusedAtItsDeadlineDespiteDuplicateRejection(long deadlineMillis) {
+        Plan rejection = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE);
+        mEndpoint.stutter(request -> request.sentBefore() == 0 ? rejection : DELAYED);
         for (int i = 0; i < SHORT_CALLS; i++) {
             String id = "u2-" + i;
-            HttpResponse reply =
+            HttpResponse response =
                     awaitResponse(
                             sendAsync(
                                     mFirstFront, mScene.onceOnlyPath(), id, "pay", deadlineMillis),
                             id);
             int runs = mEndpoint.runs(id).size();
-            // Each call is to meet its own refusal only, not what an earlier one has left behind.
+            // Releases what is held back, so that each call gets only its own rejection.
             mEndpoint.release();
 
             assertThat("runs of " + id, runs, is(lessThanOrEqualTo(1)));
-            assertThat("runs of " + id + " at 503", reply.status() == 503 ? runs : 0, is(0));
+            assertThat("runs of " + id + " at 503", response.status() == 503 ? runs : 0, is(0));
         }
     }
 
@@ -75,7 +80,7 @@
         "FAILED, LATE, LENGTH",
         "IMPOSSIBLE, LATE_IN_PIECES, CHUNKED"
     })
-    void aCallThatRunsOnceGetsItsOwnAnswerBehindThatOfAnotherCall(
+    void nonIdempotentCallGetsItsOwnResponseAfterDuplicateOfAnotherCall(
             Reply reply, Repeat repeat, Framing framing) {
         Plan other = Plan.of(reply).repeated(repeat).framed(framing, framing);
         mEndpoint.stutter(Stutter.scripted(Map.of("x1", List.of(other))));
@@ -87,7 +92,7 @@
     }
 
     @Test
-    void callsInTurnGetTheirOwnAnswersAndRunOnceWhileEachAnswerComesTwice() {
+    void consecutiveCallsGetTheirOwnResponsesIfEachResponseIsDuplicated() {
         mEndpoint.stutter(Stutter.always(Repeat.LATE));
         List<Integer> runs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -102,10 +107,10 @@
     }
 
     @Test
-    void aSampleIsNotGivenUpBecauseItsFailuresComeTwice() {
+    void sampleIsNotAbandonedBecauseOfDuplicateFailures() {
         Plan failure = Plan.of(Reply.FAILED).repeated(Repeat.LATE);
-        Plan lagging = failure.held(Hold.BEHIND_ANOTHER, Stutter.UNTIL_RELEASED);
-        mEndpoint.stutter(Stutter.scripted(Map.of("p1", List.of(failure, lagging, RUN))));
+        Plan delayed = failure.held(Hold.BEHIND_ANOTHER, Stutter.UNTIL_RELEASED);
+        mEndpoint.stutter(Stutter.scripted(Map.of("p1", List.of(failure, delayed, RUN))));
         submit(mFirstFront, "st1", mScene.stepBody(1, List.of("p1"), false));
         pollUntil(RETRY_POLLS, () -> mEndpoint.received("p1").size() > 2);
         mEndpoint.release();
@@ -118,42 +123,42 @@
     }
 
     @Test
-    void aSampleOfALaterStepIsListedWholeAfterAnAnswerWithoutEventsCameTwice() {
+    void sampleOfLaterStepIsCompleteAfterDuplicateOfResponseWithoutEvents() {
         Plan unframed =
                 RUN.framed(Framing.CLOSE, Framing.CLOSE).held(Hold.ALWAYS, Stutter.UNTIL_RELEASED);
-        mEndpoint.stutter(Stutter.scripted(Map.of("p1", List.of(unframed, TWICE, RUN))));
+        mEndpoint.stutter(Stutter.scripted(Map.of("p1", List.of(unframed, DUPLICATED, RUN))));
         submit(mFirstFront, "st2", mScene.stepBody(2, List.of("p1", "p2"), false));
         readResults(mFirstFront, "st2", 1);
         pollUntil(RETRY_POLLS, () -> !mEndpoint.runs("p1").isEmpty());
         mEndpoint.release();
         readResults(mFirstFront, "st2", 2);
-        // The trainer's count of steps is lower, so that nothing of the first step is used.
+        // A lower step number, so that no text of the first step is carried over.
         submit(mFirstFront, "st3", mScene.stepBody(1, List.of("p1"), false));
 
         checkText(readResults(mFirstFront, "st3", 1).get(0), mScene.events(), mEndpoint.received());
     }
 
     @Test
-    void aStreamThatGoesOnIsAskedForOnceWhenAnotherAnswerComesTwice() {
+    void brokenStreamIsContinuedOnceDespiteDuplicateOfAnotherCall() {
         Plan broken = Plan.brokenAfter(2).held(Hold.ALWAYS, Stutter.UNTIL_RELEASED);
         mEndpoint.stutter(
-                Stutter.scripted(Map.of("p1", List.of(broken, RUN), "x1", List.of(TWICE))));
+                Stutter.scripted(Map.of("p1", List.of(broken, RUN), "x1", List.of(DUPLICATED))));
         submit(mFirstFront, "st4", mScene.stepBody(1, List.of("p1"), false));
         pollUntil(RETRY_POLLS, () -> !mEndpoint.runs("p1").isEmpty());
-        // While the first run has a connection, this call leaves its answer on another one.
+        // The first run occupies a connection, so this call leaves its duplicate on another one.
         checkEchoed(send(mFirstFront, "POST", mScene.callPath(), "x1", "other"), "other");
         mEndpoint.release();
         JsonNode result = readResults(mFirstFront, "st4", 1).get(0);
 
         checkText(result, mScene.events(), mEndpoint.received());
-        List<Integer> asked =
+        List<Integer> requested =
                 mEndpoint.received("p1").stream().map(r -> r.request().lastEvent()).toList();
-        assertThat("events after which runs were asked", asked, is(List.of(0, 2)));
+        assertThat("events after which runs were requested", requested, is(List.of(0, 2)));
     }
 
     @ParameterizedTest
     @CsvSource({"LATE", "LATE_IN_PIECES", "AT_ONCE"})
-    void samplesAreListedWholeAndRunOnceWhileStreamsComeTwice(Repeat repeat) {
+    void samplesAreCompleteAndRunOnceIfStreamsAreDuplicated(Repeat repeat) {
         mEndpoint.stutter(Stutter.always(repeat));
         for (int i = 1; i <= 4; i++) {
             String step = "st5-" + i;
@@ -169,68 +174,69 @@
     }
 
     @Test
-    void aVersionIsOrderedAgainWhenAReportThatComesTwiceHidesThatTheOrderWasRefused() {
+    void versionIsOrderedAgainIfDuplicateReportHidesRejectedOrder() {
         mEndpoint.stutter(
                 Stutter.scripted(
                         Map.of(
-                                mScene.reportPath(), List.of(TWICE, RUN),
+                                mScene.reportPath(), List.of(DUPLICATED, RUN),
                                 mScene.orderPath(), List.of(Plan.of(Reply.CONFLICT), RUN))));
         mScene.nameVersion(3);
-        pollUntil(PLANNER_LOOKS, () -> mEndpoint.version() == 3);
+        pollUntil(PLANNER_POLLS, () -> mEndpoint.version() == 3);
 
         assertThat("orders " + mEndpoint.received(mScene.orderPath()), mEndpoint.version(), is(3));
     }
 
     @Test
-    void aVersionIsOrderedAgainWhenAnEarlierOrderThatComesTwiceShiftsTheAnswers() {
+    void versionIsOrderedAgainIfDuplicateOrderResponseShiftsLaterResponses() {
         mEndpoint.stutter(
                 Stutter.scripted(
                         Map.of(
-                                mScene.reportPath(), List.of(LAGGING),
-                                mScene.orderPath(), List.of(TWICE, Plan.of(Reply.CONFLICT), RUN))));
+                                mScene.reportPath(), List.of(DELAYED),
+                                mScene.orderPath(),
+                                        List.of(DUPLICATED, Plan.of(Reply.CONFLICT), RUN))));
         mScene.nameVersion(3);
-        pollUntil(PLANNER_LOOKS, () -> mEndpoint.received(mScene.reportPath()).size() > 1);
+        pollUntil(PLANNER_POLLS, () -> mEndpoint.received(mScene.reportPath()).size() > 1);
         assertThat(mEndpoint.version(), is(3));
         mScene.nameVersion(5);
-        pollUntil(PLANNER_LOOKS, () -> mEndpoint.version() == 5);
+        pollUntil(PLANNER_POLLS, () -> mEndpoint.version() == 5);
 
         assertThat("orders " + mEndpoint.received(mScene.orderPath()), mEndpoint.version(), is(5));
     }
 
     @Test
-    void aCallThatRunsOnceIsNotRunAgainBecauseARefusalThatNamesNoCallComesInFront() {
-        Plan refusal = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE).withoutIdWhenRepeated();
-        mEndpoint.stutter(request -> request.key().startsWith("x-") ? refusal : LAGGING);
-        boolean refusedOnce = false;
-        for (int i = 0; i < MAX_TRIES && !refusedOnce; i++) {
+    void nonIdempotentCallRunsOnceDespitePrecedingRejectionWithoutRequestId() {
+        Plan rejection = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE).withoutIdWhenRepeated();
+        mEndpoint.stutter(request -> request.key().startsWith("x-") ? rejection : DELAYED);
+        boolean rejectedOnce = false;
+        for (int i = 0; i < MAX_TRIES && !rejectedOnce; i++) {
             String id = "x-" + i;
             sendAsync(mFirstFront, mScene.callPath(), id, "other", SHORT_DEADLINE_MILLIS).join();
-            refusedOnce = mEndpoint.received(id).size() == 1;
+            rejectedOnce = mEndpoint.received(id).size() == 1;
         }
-        HttpResponse reply =
+        HttpResponse response =
                 awaitResponse(sendAsync(mFirstFront, mScene.onceOnlyPath(), "u4", "pay"), "u4");
 
-        checkRunOnceOrLost("u4", reply);
+        checkRunOnceOrLost("u4", response);
     }
 
     @Test
-    void aCallThatRunsOnceDoesNotFailBecauseAFailureThatNamesNoCallComesInFront() {
+    void nonIdempotentCallDoesNotFailDespitePrecedingFailureWithoutRequestId() {
         Plan failure = Plan.of(Reply.FAILED).repeated(Repeat.LATE).withoutIdWhenRepeated();
         mEndpoint.stutter(Stutter.scripted(Map.of("x1", List.of(failure))));
         sendAsync(mFirstFront, mScene.onceOnlyPath(), "x1", "other").join();
-        HttpResponse reply = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u5", "pay").join();
+        HttpResponse response = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u5", "pay").join();
 
-        checkRunOnceOrLost("u5", reply);
+        checkRunOnceOrLost("u5", response);
     }
 
     /**
-     * Checks that a call has run once and got its answer, or was lost: the endpoint may see the end
-     * of the connection before it has read the request.
+     * Checks that a call ran once and got its own response, or was lost: the endpoint may see the
+     * end of the connection before it has read the request.
      */
-    private void checkRunOnceOrLost(String id, HttpResponse reply) {
+    private void checkRunOnceOrLost(String id, HttpResponse response) {
         int runs = mEndpoint.runs(id).size();
         assertThat("runs of the call", runs, is(lessThanOrEqualTo(1)));
-        assertThat("status of the call", reply.status(), anyOf(is(200), is(502)));
-        assertThat("runs of an answered call", reply.status() == 200 ? runs : 1, is(1));
+        assertThat("status of the call", response.status(), anyOf(is(200), is(502)));
+        assertThat("runs of an answered call", response.status() == 200 ? runs : 1, is(1));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultReaderTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultReaderTest.java
@@ -26,31 +26,34 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Plays reads of a step at three processes while its owner lists results, hands the step over, ends
- * it and restarts, and the store answers late, in parts, with faults, and forgets its history. The
- * order of all events is drawn from a seed.
+ * Simulates reads of a step at three processes while its ownership moves between them and the owner
+ * lists results. The store responds late, in parts or with faults, and loses its history. The order
+ * of all events is drawn from a seed.
+ *
+ * <p>Guards against a reader that returns no results at a position where another reader has already
+ * returned some, for instance because it took a part of the changes for all of them.
  */
 class ResultReaderTest {
     private static final StepId STEP = StepId.of("step");
     private static final int SAMPLES = 40;
     private static final int READERS = 3;
-    private static final int NOBODY = -1;
-    private static final int TURNS = 600;
+    private static final int NO_OWNER = -1;
+    private static final int ACTIONS = 600;
     private static final int RUNS = 100;
 
-    /** A store whose calls take effect, and are answered, when the test says so. */
+    /** A store whose calls take effect and complete only when the test runs their pending tasks. */
     private final class FakeStore extends StubStore {
         private final List<StoreItem> mItems = new ArrayList<>();
         private long mRevision = 1;
-        private long mOldest = 1;
+        private long mHistoryStart = 1;
 
         void append(int position, List<SampleResult> results) {
             byte[] value = StepCodec.results(results);
             mItems.add(new StoreItem(StoreKeys.resultKey(STEP, position), value, ++mRevision, 0));
         }
 
-        void forgetHistory() {
-            mOldest = ++mRevision;
+        void dropHistory() {
+            mHistoryStart = ++mRevision;
         }
 
         List<SampleResult> results() {
@@ -61,40 +64,42 @@
 
         @Override
         public CompletableFuture<Result<StorePage>> range(String prefix, String after) {
-            CompletableFuture<Result<StorePage>> answer = new CompletableFuture<>();
+            CompletableFuture<Result<StorePage>> response = new CompletableFuture<>();
             mPending.add(
                     () -> {
                         List<StoreItem> items = new ArrayList<>(mItems);
                         items.removeIf(item -> item.key().compareTo(after) <= 0);
-                        int most = 1 + mRandom.nextInt(4);
-                        boolean truncated = items.size() > most;
-                        List<StoreItem> page = items.subList(0, Math.min(most, items.size()));
+                        int maxSize = 1 + mRandom.nextInt(4);
+                        boolean truncated = items.size() > maxSize;
+                        List<StoreItem> page = items.subList(0, Math.min(maxSize, items.size()));
                         Result<StorePage> result =
-                                fails()
+                                nextCallFails()
                                         ? Result.err(fault())
                                         : Result.ok(
                                                 new StorePage(
                                                         List.copyOf(page), truncated, mRevision));
-                        mPending.add(() -> answer.complete(result));
+                        mPending.add(() -> response.complete(result));
                     });
-            return answer;
+            return response;
         }
 
         @Override
         public CompletableFuture<Result<StoreChanges>> watch(
                 String prefix, long afterRevision, long waitMillis) {
-            CompletableFuture<Result<StoreChanges>> answer = new CompletableFuture<>();
+            CompletableFuture<Result<StoreChanges>> response = new CompletableFuture<>();
             mPending.add(
                     () -> {
                         Result<StoreChanges> result =
-                                fails() ? Result.err(fault()) : Result.ok(changes(afterRevision));
-                        mPending.add(() -> answer.complete(result));
+                                nextCallFails()
+                                        ? Result.err(fault())
+                                        : Result.ok(changes(afterRevision));
+                        mPending.add(() -> response.complete(result));
                     });
-            return answer;
+            return response;
         }
 
         private StoreChanges changes(long after) {
-            if (after < mOldest) {
+            if (after < mHistoryStart) {
                 return StoreChanges.ofCompactedHistory();
             }
             List<StoreChange> found = new ArrayList<>();
@@ -103,30 +108,34 @@
                     found.add(new StoreChange(item.key(), item.revision(), item));
                 }
             }
-            int most = 1 + mRandom.nextInt(3);
-            boolean part = found.size() > most;
-            List<StoreChange> told = part ? found.subList(0, most) : found;
-            return new StoreChanges(told, part ? told.get(most - 1).revision() : mRevision, false);
+            int maxSize = 1 + mRandom.nextInt(3);
+            boolean partial = found.size() > maxSize;
+            List<StoreChange> returned = partial ? found.subList(0, maxSize) : found;
+            return new StoreChanges(
+                    returned, partial ? returned.get(maxSize - 1).revision() : mRevision, false);
         }
     }
 
     private final EventLog mLog = EventLog.start(OutputStream.nullOutputStream());
     private final List<Runnable> mPending = new ArrayList<>();
-    private final List<String> mWrong = new ArrayList<>();
+    private final List<String> mViolations = new ArrayList<>();
     private final ResultReader[] mReaders = new ResultReader[READERS];
     private Random mRandom = new Random(0);
     private FakeStore mStore = new FakeStore();
     private List<SampleResult> mListed = new ArrayList<>();
     private int mOwner;
+    // Counts the changes of ownership, so that writes of earlier owners are refused.
     private int mTerm;
     private boolean mStoring;
     private long mNow;
-    private int mShown;
-    private int mOpen;
-    private int mFaultsIn;
+    // The number of results that any reader has returned so far.
+    private int mMaxReturned;
+    private int mOpenReads;
+    // One of this many store calls fails; zero for none.
+    private int mCallsPerFault;
 
-    private boolean fails() {
-        return mFaultsIn > 0 && mRandom.nextInt(mFaultsIn) == 0;
+    private boolean nextCallFails() {
+        return mCallsPerFault > 0 && mRandom.nextInt(mCallsPerFault) == 0;
     }
 
     private static Fault fault() {
@@ -161,49 +170,56 @@
         mPending.clear();
         mOwner = 0;
         mStoring = false;
-        mShown = 0;
-        mOpen = 0;
-        mFaultsIn = 12;
+        mMaxReturned = 0;
+        mOpenReads = 0;
+        mCallsPerFault = 12;
         for (int i = 0; i < READERS; i++) {
             mReaders[i] = reader(i);
         }
     }
 
-    /** Reads at one process and checks the answer against what any process has shown before. */
-    private void read(String why, int index, int from) {
-        int shownBefore = mShown;
-        mOpen++;
-        ResultReader.Callback reply =
+    /**
+     * Reads at one process and checks the results against the store's and against what any process
+     * returned before the read began.
+     */
+    private void read(String run, int index, int from) {
+        int returnedBefore = mMaxReturned;
+        mOpenReads++;
+        ResultReader.Callback callback =
                 new ResultReader.Callback() {
                     @Override
                     public void onResults(List<SampleResult> results) {
-                        mOpen--;
+                        mOpenReads--;
                         List<SampleResult> stored = mStore.results();
                         int begin = Math.min(from, stored.size());
                         int end = begin + results.size();
-                        // Collected, since the store's future would keep a thrown error.
+                        // Collected, since the store's future would swallow a thrown error.
                         if (end > stored.size() || !results.equals(stored.subList(begin, end))) {
-                            mWrong.add(why + ": other results than the store's from " + from);
+                            mViolations.add(
+                                    run
+                                            + ": results differ from the store's from position "
+                                            + from);
                         }
-                        if (from < shownBefore && results.isEmpty()) {
-                            mWrong.add(why + ": nothing at position " + from);
+                        if (from < returnedBefore && results.isEmpty()) {
+                            mViolations.add(
+                                    run + ": an earlier read had a result at position " + from);
                         }
-                        mShown = Math.max(mShown, results.isEmpty() ? 0 : end);
+                        mMaxReturned = Math.max(mMaxReturned, results.isEmpty() ? 0 : end);
                     }
 
                     @Override
                     public void onFault(Fault fault) {
-                        mOpen--;
+                        mOpenReads--;
                     }
                 };
-        mReaders[index].read(STEP, SAMPLES, from, mRandom.nextInt(3) * 400L, reply);
+        mReaders[index].read(STEP, SAMPLES, from, mRandom.nextInt(3) * 400L, callback);
     }
 
-    /** The owner stores one to three results; the store takes them if it still is the owner. */
-    private void list() {
+    /** The owner stores one to three results; the store accepts them only from the same owner. */
+    private void listResults() {
         int position = mListed.size();
         int count = Math.min(1 + mRandom.nextInt(3), SAMPLES - position);
-        if (mOwner == NOBODY || mStoring || count == 0) {
+        if (mOwner == NO_OWNER || mStoring || count == 0) {
             return;
         }
         List<SampleResult> results = new ArrayList<>();
@@ -223,14 +239,14 @@
     }
 
     private void onStored(int term, List<SampleResult> results) {
-        if (term == mTerm && mOwner != NOBODY) {
+        if (term == mTerm && mOwner != NO_OWNER) {
             mStoring = false;
             mListed.addAll(results);
             mReaders[mOwner].onListed(STEP, List.copyOf(mListed));
         }
     }
 
-    /** Another process takes the step, with what the store has. */
+    /** Makes a random process the owner, with the results that the store has. */
     private void handOver() {
         mTerm++;
         mStoring = false;
@@ -238,24 +254,25 @@
         mListed = mStore.results();
     }
 
-    private void turn(String why) {
-        int draw = mRandom.nextInt(100);
+    /** Performs one random action. */
+    private void act(String run) {
+        int action = mRandom.nextInt(100);
         int reader = mRandom.nextInt(READERS);
         mNow += Nanos.ofMillis(mRandom.nextInt(30));
-        if (draw < 60 && !mPending.isEmpty()) {
+        if (action < 60 && !mPending.isEmpty()) {
             mPending.remove(mRandom.nextInt(mPending.size())).run();
-        } else if (draw < 80) {
-            int known = Math.max(0, mShown - mRandom.nextInt(4));
-            read(why, reader, Math.min(SAMPLES, known + mRandom.nextInt(3)));
-        } else if (draw < 92) {
-            list();
-        } else if (draw < 94) {
+        } else if (action < 80) {
+            int known = Math.max(0, mMaxReturned - mRandom.nextInt(4));
+            read(run, reader, Math.min(SAMPLES, known + mRandom.nextInt(3)));
+        } else if (action < 92) {
+            listResults();
+        } else if (action < 94) {
             handOver();
-        } else if (draw < 95) {
-            mStore.forgetHistory();
-        } else if (draw < 96) {
-            // What was being stored may still take effect.
-            mOwner = NOBODY;
+        } else if (action < 95) {
+            mStore.dropHistory();
+        } else if (action < 96) {
+            // A write in flight may still take effect.
+            mOwner = NO_OWNER;
         } else {
             for (ResultReader each : mReaders) {
                 each.onTick(mNow);
@@ -263,9 +280,10 @@
         }
     }
 
+    /** Runs all pending tasks without faults until every read has ended. */
     private void finish() {
-        mFaultsIn = 0;
-        for (int i = 0; i < TURNS && mOpen > 0; i++) {
+        mCallsPerFault = 0;
+        for (int i = 0; i < ACTIONS && mOpenReads > 0; i++) {
             mNow += Nanos.ofMillis(100);
             while (!mPending.isEmpty()) {
                 mPending.remove(0).run();
@@ -278,39 +296,39 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void whatAnyProcessHasShownEveryProcessShows(long seed) {
-        int shown = 0;
+    void readsAreMonotonicAcrossProcesses(long seed) {
+        int returnedTotal = 0;
         for (int run = 0; run < RUNS; run++) {
-            String why = "seed " + seed + " run " + run;
+            String description = "seed " + seed + " run " + run;
             begin(seed * RUNS + run);
-            for (int i = 0; i < TURNS; i++) {
-                turn(why);
+            for (int i = 0; i < ACTIONS; i++) {
+                act(description);
             }
             finish();
-            assertThat(why + ": reads without an answer", mOpen, is(0));
-            shown += mShown;
+            assertThat(description + ": reads that did not end", mOpenReads, is(0));
+            returnedTotal += mMaxReturned;
         }
-        assertThat(mWrong, is(empty()));
-        assertThat(shown / RUNS, is(greaterThan(SAMPLES / 2)));
+        assertThat(mViolations, is(empty()));
+        assertThat(returnedTotal / RUNS, is(greaterThan(SAMPLES / 2)));
     }
 
     @Test
-    void aReadGoesOnWhenAWatchTellsOnlyAPartOfTheChanges() {
+    void readContinuesIfWatchReturnsOnlyPartOfTheChanges() {
         begin(1);
-        mFaultsIn = 0;
-        mOwner = NOBODY;
+        mCallsPerFault = 0;
+        mOwner = NO_OWNER;
         read("before the first result", 0, 0);
         finish();
         for (int position = 0; position < 20; position++) {
             SampleResult result = new SampleResult("s" + position, true, "t", List.of(1), "");
             mStore.append(position, List.of(result));
         }
-        mShown = 20;
+        mMaxReturned = 20;
 
         read("after twenty results", 0, 19);
         finish();
 
-        assertThat(mOpen, is(0));
-        assertThat(mWrong, is(empty()));
+        assertThat(mOpenReads, is(0));
+        assertThat(mViolations, is(empty()));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
@@ -45,9 +45,9 @@
     private static final ServiceName ENGINES = ServiceName.of("engines");
     private static final long REVISION = 7;
     private static final long RUN = 1;
-    private static final int WORTH_KEEPING = 12;
+    private static final int CHECKPOINT_EVENTS = 12;
 
-    /** A store that notes transactions and answers none. */
+    /** A store that records transactions and never completes them. */
     private static final class FakeStore extends StubStore {
         final List<Transaction> mTransactions = new ArrayList<>();
 
@@ -58,8 +58,8 @@
         }
     }
 
-    /** The parts of an entry that a writer uses. */
-    private record Parts(Policy policy, EventLog log) implements HostedContext {
+    /** The parts of an entry that a writer uses; the others fail. */
+    private record FakeContext(Policy policy, EventLog log) implements HostedContext {
         @Override
         public Executor executor() {
             return Runnable::run;
@@ -111,7 +111,7 @@
         }
     }
 
-    /** Carries nothing out. */
+    /** Ignores all outputs of the state machine. */
     private static final class NoOutputs implements StepOutputs {
         @Override
         public void startRun(
@@ -137,7 +137,7 @@
     }
 
     /** Owns every step. */
-    private static final class AlwaysOwner implements ResultWriter.Ownership {
+    private static final class AlwaysOwned implements ResultWriter.Ownership {
         @Override
         public boolean isCurrent(StepId id, OwnedStep owned) {
             return true;
@@ -153,7 +153,7 @@
     private final FakeStore mStore = new FakeStore();
     private final OwnedStep mOwned = new OwnedStep(REVISION);
 
-    /** Returns a writer of a step, one sample of which has a text of some events. */
+    /** Returns a writer of a step whose only sample has generated a number of events. */
     private ResultWriter writer(Policy policy, int events) {
         Fleet fleet = Fleet.create();
         fleet.onRecord(
@@ -189,29 +189,29 @@
         }
         EventLog log = EventLog.start(OutputStream.nullOutputStream());
         return new ResultWriter(
-                new Parts(policy, log), new StepStore(mStore), machine, new AlwaysOwner());
+                new FakeContext(policy, log), new StepStore(mStore), machine, new AlwaysOwned());
     }
 
-    private void tick(ResultWriter writer, long millis) {
+    private void tickAfterLastCheckpoint(ResultWriter writer, long millis) {
         writer.onTick(STEP, mOwned, mOwned.mLastCheckpointAt + Nanos.ofMillis(millis));
     }
 
     @ParameterizedTest
     @CsvSource({"12, 1", "11, 0"})
-    void longTextsAreKeptOnceInAWhile(int events, int kept) {
+    void checkpointIsStoredOncePerIntervalIfTextIsLongEnough(int events, int stored) {
         ResultWriter writer = writer(Policy.ALL, events);
-        tick(writer, 799);
+        tickAfterLastCheckpoint(writer, 799);
         assertThat(mStore.mTransactions.size(), is(0));
-        tick(writer, 800);
-        tick(writer, 799);
+        tickAfterLastCheckpoint(writer, 800);
+        tickAfterLastCheckpoint(writer, 799);
 
-        assertThat(mStore.mTransactions.size(), is(kept));
+        assertThat(mStore.mTransactions.size(), is(stored));
     }
 
     @Test
-    void withoutCheckpointsNoTextIsKeptWhileSamplesRun() {
-        ResultWriter writer = writer(Policy.ALL.without(Mechanism.CHECKPOINTS), WORTH_KEEPING);
-        tick(writer, 10_000);
+    void noCheckpointIsStoredIfPolicyDisablesCheckpoints() {
+        ResultWriter writer = writer(Policy.ALL.without(Mechanism.CHECKPOINTS), CHECKPOINT_EVENTS);
+        tickAfterLastCheckpoint(writer, 10_000);
 
         assertThat(mStore.mTransactions.size(), is(0));
     }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StepDirectoryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StepDirectoryTest.java
@@ -46,18 +46,18 @@
         "edge-2/def, false",
         "edge-11/abc, false"
     })
-    void aStepConcernsItsOwnerAndWhoMayTakeIt(String owner, boolean concerns) {
+    void openStepIsReturnedToItsOwnerAndToProcessesThatMayClaimIt(String owner, boolean expected) {
         put(StoreKeys.MANIFEST, MANIFEST);
         if (!owner.isEmpty()) {
             put(StoreKeys.OWNER, owner.getBytes(StandardCharsets.UTF_8));
         }
 
-        assertThat(mDirectory.ownedOrClaimableBy(SELF).contains(STEP), is(concerns));
+        assertThat(mDirectory.ownedOrClaimableBy(SELF).contains(STEP), is(expected));
     }
 
     @ParameterizedTest
     @CsvSource({"end", "done"})
-    void aStepThatIsOverConcernsNobodyAndIsForgottenInTime(String part) {
+    void finishedStepIsNotClaimableAndIsReturnedOnceItIsOldEnough(String part) {
         put(StoreKeys.MANIFEST, MANIFEST);
         put(part, new byte[] {'1'});
 
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aStepWithoutKeysIsNotKnown() {
+    void stepWithoutKeysIsRemoved() {
         put(StoreKeys.MANIFEST, MANIFEST);
         put(StoreKeys.OWNER, new byte[] {'x'});
         remove(StoreKeys.OWNER);
@@ -78,13 +78,13 @@
     }
 
     @Test
-    void anUnreadableManifestNamesNoStepToTake() {
+    void malformedManifestMakesNoStepClaimable() {
         put(StoreKeys.MANIFEST, "{".getBytes(StandardCharsets.UTF_8));
 
         assertThat(mDirectory.ownedOrClaimableBy(SELF), is(empty()));
     }
 
-    private void know(String id, String model, int number) {
+    private void putManifest(String id, String model, int number) {
         String key = StoreKeys.liveKey(StepId.of(id), StoreKeys.MANIFEST);
         StepManifest manifest = new StepManifest("h", "/p/", model, number, 1, 2, 1_000);
         StoreItem item = new StoreItem(key, StepCodec.manifest(manifest), ++mRevision, 0);
@@ -93,18 +93,18 @@
 
     @ParameterizedTest
     @CsvSource({"m, 4, third", "m, 3, second", "m, 1, none", "n, 9, none", "other, 9, none"})
-    void theStepBeforeIsTheNewestOfTheSameTrainerUnlessItIsDone(
+    void predecessorIsTheNewestEarlierStepOfTheTrainerUnlessItIsDone(
             String model, int number, String expected) {
-        know("first", "m", 1);
-        know("second", "m", 2);
-        know("third", "m", 3);
-        know("whole", "n", 1);
+        putManifest("first", "m", 1);
+        putManifest("second", "m", 2);
+        putManifest("third", "m", 3);
+        putManifest("whole", "n", 1);
         String done = StoreKeys.liveKey(StepId.of("whole"), StoreKeys.DONE);
         StoreItem item = new StoreItem(done, new byte[] {'1'}, ++mRevision, 0);
         mDirectory.onChange(new StoreChange(done, mRevision, item));
         StepManifest manifest = new StepManifest("h", "/p/", model, number, 1, 2, 2_000);
 
-        StepId before = mDirectory.findUnfinishedPredecessor(manifest);
-        assertThat(before == null ? "none" : before.toString(), is(expected));
+        StepId predecessor = mDirectory.findUnfinishedPredecessor(manifest);
+        assertThat(predecessor == null ? "none" : predecessor.toString(), is(expected));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreHealthTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreHealthTest.java
@@ -17,7 +17,7 @@
     private static final long TICK = Nanos.ofMillis(20);
     private static final long TIMEOUT = Nanos.ofMillis(1_000);
 
-    private final List<String> mSaid = new ArrayList<>();
+    private final List<String> mEvents = new ArrayList<>();
     private int mProbes;
     private final StoreHealth mHealth =
             new StoreHealth(
@@ -29,28 +29,28 @@
 
                         @Override
                         public void onUnavailable(String why) {
-                            mSaid.add("away " + why);
+                            mEvents.add("away " + why);
                         }
 
                         @Override
                         public void onAvailable() {
-                            mSaid.add("back");
+                            mEvents.add("back");
                         }
                     });
 
     @Test
-    void aFaultOfAWatchMeansAwayUntilAProbeIsAnswered() {
+    void watchFaultBeginsOutageUntilProbeSucceeds() {
         mHealth.onWatchFault("timeout", 0);
         assertThat(mHealth.isUnavailable(), is(true));
         assertThat(mHealth.outageNanos(TICK), is(TICK));
         mHealth.onProbeEnd(0, "", TICK);
 
         assertThat(mHealth.isUnavailable(), is(false));
-        assertThat(mSaid, contains("away timeout", "back"));
+        assertThat(mEvents, contains("away timeout", "back"));
     }
 
     @Test
-    void aFaultOfAnotherCallAsksOnceAndDecidesNothing() {
+    void callFaultSendsOneProbeAndBeginsNoOutage() {
         mHealth.onCallFault(0);
         mHealth.onCallFault(TICK);
         assertThat(mProbes, is(1));
@@ -60,20 +60,20 @@
         }
 
         assertThat(mProbes, is(1));
-        assertThat(mSaid, is(empty()));
+        assertThat(mEvents, is(empty()));
     }
 
     @Test
-    void aProbeThatFailsMeansAwayToo() {
+    void probeFaultBeginsOutage() {
         mHealth.onCallFault(0);
         mHealth.onProbeEnd(0, "timeout", TIMEOUT);
 
-        assertThat(mSaid, contains("away timeout"));
+        assertThat(mEvents, contains("away timeout"));
         assertThat(mProbes, is(2));
     }
 
     @Test
-    void aProbeFromBeforeTheReturnSaysNothingOfTheTimeAfterIt() {
+    void probeSentBeforeEndOfOutageBeginsNoNewOutage() {
         mHealth.onWatchFault("timeout", 0);
         mHealth.onTick(StoreHealth.PROBE_INTERVAL_NANOS);
         mHealth.onProbeEnd(0, "", TIMEOUT / 2);
@@ -87,29 +87,29 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 20, 33, 51, 100, 325})
-    void theReturnIsNoticedWithinOneProbe(int ticksAway) {
-        long back = ticksAway * TICK;
-        List<Long> sent = new ArrayList<>();
+    void endOfOutageIsDetectedWithinOneProbeInterval(int outageTicks) {
+        long outageEnd = outageTicks * TICK;
+        List<Long> sentAt = new ArrayList<>();
         mHealth.onWatchFault("timeout", 0);
-        sent.add(0L);
+        sentAt.add(0L);
         long now = 0;
         while (mHealth.isUnavailable()) {
             now += TICK;
-            while (!sent.isEmpty() && now - sent.get(0) >= TIMEOUT) {
-                sent.remove(0);
+            while (!sentAt.isEmpty() && now - sentAt.get(0) >= TIMEOUT) {
+                sentAt.remove(0);
                 mHealth.onProbeEnd(0, "timeout", now);
             }
             int before = mProbes;
             mHealth.onTick(now);
             if (mProbes > before) {
-                sent.add(now);
+                sentAt.add(now);
             }
-            assertThat(sent.size(), lessThanOrEqualTo(StoreHealth.MAX_OPEN_PROBES));
-            if (mProbes > before && now >= back) {
+            assertThat(sentAt.size(), lessThanOrEqualTo(StoreHealth.MAX_OPEN_PROBES));
+            if (mProbes > before && now >= outageEnd) {
                 mHealth.onProbeEnd(0, "", now);
             }
         }
 
-        assertThat(now - back, lessThanOrEqualTo(StoreHealth.PROBE_INTERVAL_NANOS + TICK));
+        assertThat(now - outageEnd, lessThanOrEqualTo(StoreHealth.PROBE_INTERVAL_NANOS + TICK));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreWatchTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StoreWatchTest.java
@@ -20,7 +20,7 @@
 class StoreWatchTest {
     private static final long WAIT_MILLIS = 2_000;
 
-    /** A store whose watches are answered by the test. */
+    /** A store whose watches are completed by the test. */
     private static final class FakeStore extends StubStore {
         final List<Long> mWaits = new ArrayList<>();
         final List<CompletableFuture<Result<StoreChanges>>> mWatches = new ArrayList<>();
@@ -43,7 +43,7 @@
     }
 
     private final FakeStore mStore = new FakeStore();
-    private final List<String> mSaid = new ArrayList<>();
+    private final List<String> mEvents = new ArrayList<>();
     private final StoreWatch mWatch =
             new StoreWatch(
                     mStore,
@@ -53,48 +53,48 @@
                     new StoreWatch.Listener() {
                         @Override
                         public void onSnapshot(List<StoreItem> items) {
-                            mSaid.add("snapshot");
+                            mEvents.add("snapshot");
                         }
 
                         @Override
                         public void onChange(StoreChange change) {
-                            mSaid.add(change.key());
+                            mEvents.add(change.key());
                         }
 
                         @Override
                         public void onResponse() {
-                            // Health of the store is not of interest here.
+                            // These tests don't check the store's health.
                         }
 
                         @Override
                         public void onFault(Fault fault) {
-                            mSaid.add("fault");
+                            mEvents.add("fault");
                         }
                     });
 
-    private void answer(int watch, Result<StoreChanges> result) {
+    private void completeWatch(int watch, Result<StoreChanges> result) {
         mStore.mWatches.get(watch).complete(result);
     }
 
-    private static Result<StoreChanges> nothing() {
+    private static Result<StoreChanges> noChanges() {
         return Result.ok(new StoreChanges(List.of(), 11, false));
     }
 
-    private static Result<StoreChanges> closed() {
+    private static Result<StoreChanges> connectionClosed() {
         return Result.err(Fault.unknown(FaultCode.PLATFORM_UNAVAILABLE, "watch", "", "closed"));
     }
 
-    private void back() {
+    private void endOutage() {
         mWatch.onStoreAvailable();
         mWatch.onTick(System.nanoTime() + WAIT_MILLIS * 1_000_000);
     }
 
     @Test
-    void theFirstCallAfterAFaultWaitsAShortTime() {
+    void firstPollAfterFaultHasShortWait() {
         mWatch.start();
-        answer(0, closed());
-        back();
-        answer(1, nothing());
+        completeWatch(0, connectionClosed());
+        endOutage();
+        completeWatch(1, noChanges());
 
         assertThat(mStore.mWaits.size(), is(3));
         assertThat(mStore.mWaits.get(1), lessThan(WAIT_MILLIS));
@@ -102,22 +102,22 @@
     }
 
     @Test
-    void aCallThatWaitedWhileTheStoreWasAwayIsAbandoned() {
+    void pollInFlightIsAbandonedAfterOutage() {
         mWatch.start();
-        back();
-        answer(0, closed());
+        endOutage();
+        completeWatch(0, connectionClosed());
 
         assertThat(mStore.mWaits.size(), is(2));
         assertThat(mStore.mWaits.get(1), lessThan(WAIT_MILLIS));
-        assertThat(mSaid, contains("snapshot"));
+        assertThat(mEvents, contains("snapshot"));
     }
 
     @Test
-    void afterAGapAllKeysAreReadAgain() {
+    void snapshotIsReadAgainAfterHistoryIsLost() {
         mWatch.start();
-        answer(0, Result.ok(StoreChanges.ofCompactedHistory()));
+        completeWatch(0, Result.ok(StoreChanges.ofCompactedHistory()));
 
         assertThat(mStore.mRanges, is(2));
-        assertThat(mSaid, contains("snapshot", "snapshot"));
+        assertThat(mEvents, contains("snapshot", "snapshot"));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StubStore.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StubStore.java
@@ -11,7 +11,7 @@
 import org.ebonyrun.ports.store.StorePage;
 import org.ebonyrun.ports.store.Transaction;
 
-/** A store of which a test takes over the calls that it expects; every other call fails. */
+/** A base class of fake stores: a test overrides the calls that it expects, all others fail. */
 class StubStore implements SharedStore {
     @Override
     public CompletableFuture<Result<Optional<StoreItem>>> get(String key) {
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/WatchTimingsTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/WatchTimingsTest.java
@@ -17,19 +17,22 @@
 
     @ParameterizedTest
     @CsvSource({"2000, 2000, 3000", "3000, 3000, 4000", "14000, 5000, 9000", "800, 700, 1000"})
-    void changesAreHeardWithinTheLimits(long config, long leaving, long contact) {
+    void changesAreReceivedWithinTheLimits(long config, long leaving, long contact) {
         EntryLimits limits = limits(config, leaving, contact);
 
-        assertThat(gather(WatchTimings.forOperatorKeys(limits, true)), lessThan(config / 2));
-        assertThat(gather(WatchTimings.forOperatorKeys(limits, false)), is(0L));
-        assertThat(gather(WatchTimings.forEndpointKeys(limits, true)), lessThan(leaving * 3 / 4));
-        assertThat(gather(WatchTimings.forEndpointKeys(limits, false)), lessThan(leaving * 3 / 4));
+        assertThat(batchMillis(WatchTimings.forOperatorKeys(limits, true)), lessThan(config / 2));
+        assertThat(batchMillis(WatchTimings.forOperatorKeys(limits, false)), is(0L));
+        assertThat(
+                batchMillis(WatchTimings.forEndpointKeys(limits, true)), lessThan(leaving * 3 / 4));
+        assertThat(
+                batchMillis(WatchTimings.forEndpointKeys(limits, false)),
+                lessThan(leaving * 3 / 4));
         assertThat(WatchTimings.forStepKeys(limits, false).waitMillis(), lessThan(contact));
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void longerLimitsCostFewerCalls(boolean idle) {
+    void longerLimitsGiveFewerCalls(boolean idle) {
         StoreWatch.Timing tight = WatchTimings.forEndpointKeys(limits(2_000, 2_000, 3_000), idle);
         StoreWatch.Timing loose = WatchTimings.forEndpointKeys(limits(3_000, 3_000, 4_000), idle);
 
@@ -38,14 +41,14 @@
     }
 
     @Test
-    void anEntryThatOwnsNothingGathersForLonger() {
+    void idleEntryBatchesLonger() {
         EntryLimits limits = limits(3_000, 3_000, 4_000);
 
-        long busy = gather(WatchTimings.forEndpointKeys(limits, false));
-        assertThat(busy, lessThan(gather(WatchTimings.forEndpointKeys(limits, true))));
+        long busy = batchMillis(WatchTimings.forEndpointKeys(limits, false));
+        assertThat(busy, lessThan(batchMillis(WatchTimings.forEndpointKeys(limits, true))));
     }
 
-    private static long gather(StoreWatch.Timing pace) {
-        return Nanos.toMillis(pace.batchNanos());
+    private static long batchMillis(StoreWatch.Timing timing) {
+        return Nanos.toMillis(timing.batchNanos());
     }
 }
