--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ArchiveRun.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ArchiveRun.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.ebonyrun.base.log.EventLog;
-import org.ebonyrun.platform.standin.StandinScene;
+import org.ebonyrun.platform.standin.StandinDeployment;
 import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.ebonyrun.ports.http.HttpRequest;
 import org.ebonyrun.ports.http.HttpResponse;
@@ -30,7 +30,7 @@
     /** Runs once. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Random random = new Random();
-        StandinScene scene = StandinScene.start(freeAddress(), freeAddress());
+        StandinDeployment scene = StandinDeployment.start(freeAddress(), freeAddress());
         String front = text(freeAddress());
         String settings =
                 String.join(
@@ -45,7 +45,7 @@
                                 + "\", metrics: \""
                                 + text(freeAddress())
                                 + "\"}",
-                        "store: \"" + text(scene.store()) + "\"",
+                        "store: \"" + text(scene.storeAddress()) + "\"",
                         "first_start: true",
                         "limits: {order_quiet: 3s, grace: 8s, keep_results: 120s}");
         HostedSettings.Parsed parsed = HostedSettings.parse("archive", settings);
@@ -69,14 +69,15 @@
     private static void post(
             AsyncHttpClient caller, String front, String path, String id, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        Map<String, String> headers = StandinScene.headers(id);
+        Map<String, String> headers = StandinDeployment.headers(id);
         HttpRequest call =
                 HttpRequest.to("POST", URI.create("http://" + front + path), headers, bytes, 1_000);
         caller.request(call, "archive").join();
     }
 
     private static HttpResponse get(AsyncHttpClient caller, URI uri) {
-        HttpRequest call = HttpRequest.to("GET", uri, StandinScene.headers(""), new byte[0], 1_000);
+        HttpRequest call =
+                HttpRequest.to("GET", uri, StandinDeployment.headers(""), new byte[0], 1_000);
         return caller.request(call, "archive")
                 .join()
                 .fold(r -> r, f -> new HttpResponse(0, new byte[0]));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
@@ -128,7 +128,7 @@
         FrontExchange caller = client.caller();
         ScoreCall score = client.score();
         if (caller != null) {
-            return EndpointProtocol.call(
+            return EndpointProtocol.newCallRequest(
                     endpoint.record(),
                     caller.method(),
                     caller.target(),
@@ -139,7 +139,7 @@
         if (score == null) {
             throw new IllegalStateException("call without a client");
         }
-        return EndpointProtocol.score(endpoint.record(), score, leftMillis);
+        return EndpointProtocol.newScoreRequest(endpoint.record(), score, leftMillis);
     }
 
     @Override
@@ -184,7 +184,7 @@
             return;
         }
         if (head.isSuccess()) {
-            end.onEnd(ScoreOutcome.SCORED, EndpointProtocol.signature(head), errors);
+            end.onEnd(ScoreOutcome.SCORED, EndpointProtocol.serverStamp(head), errors);
         } else {
             end.onEnd(ScoreOutcome.FAILED, "", errors);
         }
@@ -212,8 +212,8 @@
             client.caller()
                     .respond(
                             UNAVAILABLE,
-                            FrontProtocol.retryAfter(call.requestId(), retryAfterMillis),
-                            EndpointProtocol.noBody());
+                            FrontProtocol.retryAfterHeaders(call.requestId(), retryAfterMillis),
+                            EndpointProtocol.emptyBody());
         }
     }
 
@@ -240,8 +240,8 @@
         } else if (caller != null) {
             caller.respond(
                     timeout ? GATEWAY_TIMEOUT : BAD_GATEWAY,
-                    FrontProtocol.own(call.requestId()),
-                    EndpointProtocol.noBody());
+                    FrontProtocol.requestIdHeaders(call.requestId()),
+                    EndpointProtocol.emptyBody());
         }
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
@@ -59,7 +59,7 @@
     @Override
     public void onHead(HttpResponseHead head) {
         mHead = head;
-        boolean signed = EndpointProtocol.attemptEnd(head) == AttemptOutcome.ANSWERED;
+        boolean signed = EndpointProtocol.attemptOutcome(head) == AttemptOutcome.ANSWERED;
         mPassing = mStreaming && head.isSuccess() && signed;
         if (mPassing) {
             runOnEventLoop(() -> mSink.onHead(this, head));
@@ -78,7 +78,8 @@
     @Override
     public void onEnd() {
         HttpResponseHead head = mHead;
-        AttemptOutcome end = head == null ? AttemptOutcome.LOST : EndpointProtocol.attemptEnd(head);
+        AttemptOutcome end =
+                head == null ? AttemptOutcome.LOST : EndpointProtocol.attemptOutcome(head);
         runOnEventLoop(() -> mSink.onEnd(this, end));
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
@@ -149,12 +149,12 @@
                             LogLine.of("step.malformed")
                                     .with("step", id)
                                     .with("why", e.getMessage()));
-            exchange.respond(BAD_REQUEST, FrontProtocol.own(id), NOTHING);
+            exchange.respond(BAD_REQUEST, FrontProtocol.requestIdHeaders(id), NOTHING);
             return;
         }
         StepStatus known = mParts.directory().get(spec.id());
         if (known != null && known.mManifest != null) {
-            exchange.respond(ACCEPTED, FrontProtocol.own(id), NOTHING);
+            exchange.respond(ACCEPTED, FrontProtocol.requestIdHeaders(id), NOTHING);
             return;
         }
         if (mParts.isStoreUnavailable()) {
@@ -173,7 +173,7 @@
     private void onAccepted(FrontExchange exchange, String id, Result<Boolean> result) {
         result.fold(
                 accepted -> {
-                    exchange.respond(ACCEPTED, FrontProtocol.own(id), NOTHING);
+                    exchange.respond(ACCEPTED, FrontProtocol.requestIdHeaders(id), NOTHING);
                     return accepted;
                 },
                 fault -> {
@@ -191,16 +191,17 @@
     /** Says "not run" only when the store certainly did nothing. */
     private static void answerFault(FrontExchange exchange, String id, Fault fault) {
         if (fault.isNotRun()) {
-            HttpHeaders headers = FrontProtocol.retryAfter(id, RETRY_AFTER_MILLIS);
+            HttpHeaders headers = FrontProtocol.retryAfterHeaders(id, RETRY_AFTER_MILLIS);
             exchange.respond(UNAVAILABLE, headers, NOTHING);
         } else {
-            exchange.respond(GATEWAY_TIMEOUT, FrontProtocol.own(id), NOTHING);
+            exchange.respond(GATEWAY_TIMEOUT, FrontProtocol.requestIdHeaders(id), NOTHING);
         }
     }
 
     private void refuse(FrontExchange exchange, String id, String why) {
         mParts.log().write(LogLine.of("call.refused").with("request", id).with("why", why));
-        exchange.respond(UNAVAILABLE, FrontProtocol.retryAfter(id, RETRY_AFTER_MILLIS), NOTHING);
+        exchange.respond(
+                UNAVAILABLE, FrontProtocol.retryAfterHeaders(id, RETRY_AFTER_MILLIS), NOTHING);
     }
 
     private void end(FrontExchange exchange, StepId step) {
@@ -236,7 +237,7 @@
 
     @Override
     public void sendResults(FrontExchange to, int total, int from, List<SampleResult> results) {
-        to.respond(OK, FrontProtocol.json(), ResultsEncoder.encode(total, from, results));
+        to.respond(OK, FrontProtocol.jsonHeaders(), ResultsEncoder.encode(total, from, results));
     }
 
     @Override
@@ -252,6 +253,6 @@
     @Override
     public void sendFault(FrontExchange to, Fault fault) {
         mParts.log().write(LogLine.of("read.unsure").with("why", fault.detail()));
-        to.respond(UNAVAILABLE, FrontProtocol.retryAfter("", RETRY_AFTER_MILLIS), NOTHING);
+        to.respond(UNAVAILABLE, FrontProtocol.retryAfterHeaders("", RETRY_AFTER_MILLIS), NOTHING);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -263,7 +263,7 @@
 
     @Override
     public void refreshRoutes(Consumer<Boolean> then) {
-        mStore.get(OperatorDecoder.CONFIG)
+        mStore.get(OperatorDecoder.CONFIG_KEY)
                 .thenAcceptAsync(
                         result -> {
                             boolean read =
@@ -327,7 +327,7 @@
         mLog.write(
                 LogLine.of("answer.dropped")
                         .with("request", answer.awaitedId())
-                        .with("answer_to", EndpointProtocol.named(answer.head()))
+                        .with("answer_to", EndpointProtocol.requestId(answer.head()))
                         .with("status", answer.head().status())
                         .with("reason", answer.reason())
                         .with("peer", answer.peer())
@@ -428,7 +428,7 @@
                             .with("version", named.version()));
             mPlanner.machine().onVersionNamed(named.model(), named.version(), System.nanoTime());
             mSamples.machine().onVersionNamed(named.model(), named.version());
-        } else if (event instanceof OperatorEvent.RetireAsked retire) {
+        } else if (event instanceof OperatorEvent.RetireRequested retire) {
             mPlanner.onRetireRequested(retire.vm());
         }
     }
@@ -455,7 +455,7 @@
 
     private Optional<EndpointRecord> record(StoreItem item) {
         try {
-            String id = EndpointDecoder.id(item.key());
+            String id = EndpointDecoder.endpointId(item.key());
             return Optional.of(EndpointDecoder.decode(id, item.value()));
         } catch (IllegalArgumentException e) {
             mLog.write(
@@ -475,7 +475,7 @@
     private void onEndpoint(StoreChange change) {
         String key = change.key();
         StoreItem item = change.item();
-        String id = EndpointDecoder.id(key);
+        String id = EndpointDecoder.endpointId(key);
         Optional<EndpointRecord> record = item == null ? Optional.empty() : record(item);
         if (record.isPresent()) {
             boolean fresh = mFleet.onRecord(record.get());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
@@ -276,7 +276,7 @@
                         Transaction.builder()
                                 .write(
                                         OperatorDecoder.retireStatusKey(vm),
-                                        OperatorDecoder.retireDone())
+                                        OperatorDecoder.retireDoneValue())
                                 .build();
                 mShared.commit(done)
                         .thenAcceptAsync(
@@ -326,7 +326,7 @@
 
     @Override
     public void requestState(Endpoint endpoint) {
-        mCaller.request(EndpointProtocol.inspect(endpoint.record()), "endpoint.inspect")
+        mCaller.request(EndpointProtocol.newStateRequest(endpoint.record()), "endpoint.inspect")
                 .thenAcceptAsync(result -> onState(endpoint, result), mParts.executor());
     }
 
@@ -345,7 +345,7 @@
             return null;
         }
         try {
-            return EndpointDecoder.state(reply.body());
+            return EndpointDecoder.decodeState(reply.body());
         } catch (IllegalArgumentException ignored) {
             // An unreadable state counts as none; the machine asks again.
             return null;
@@ -373,7 +373,7 @@
             return;
         }
         mCaller.request(
-                        EndpointProtocol.order(
+                        EndpointProtocol.newOrderRequest(
                                 endpoint.record(), mSettings.get().vm().value(), order),
                         "endpoint.order")
                 .thenAcceptAsync(result -> onReply(endpoint, order, result), mParts.executor());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
@@ -91,7 +91,7 @@
                                 .with("after", lastEvent));
         exchange.setExchange(
                 mCaller.send(
-                        EndpointProtocol.run(
+                        EndpointProtocol.newRunRequest(
                                 endpoint.record(), step.host(), sample, lastEvent, terms),
                         exchange));
     }
@@ -120,7 +120,7 @@
     public void onEvents(long run, List<SseEvent> events) {
         long now = System.nanoTime();
         for (SseEvent event : events) {
-            int version = EndpointProtocol.version(event);
+            int version = EndpointProtocol.weightVersion(event);
             mMachine.onEvent(run, (int) event.id(), event.data(), version, now);
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
@@ -54,7 +54,7 @@
         mHead = head;
         mStream = EndpointProtocol.isStream(head);
         if (mStream) {
-            int version = EndpointProtocol.version(head);
+            int version = EndpointProtocol.weightVersion(head);
             runOnEventLoop(() -> mSink.onStreamStart(mRun, version));
         }
     }
@@ -85,7 +85,7 @@
             return RunOutcome.BROKEN;
         }
         if (!mStream) {
-            return EndpointProtocol.runEnd(mHead, mEndpoint);
+            return EndpointProtocol.runOutcome(mHead, mEndpoint);
         }
         if (!mParser.isBetweenEvents()) {
             return RunOutcome.BROKEN;
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/agent/PlainAdapterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/agent/PlainAdapterTest.java
@@ -17,8 +17,8 @@
 import org.ebonyrun.base.result.FaultCode;
 import org.ebonyrun.core.attempt.Job;
 import org.ebonyrun.core.attempt.WorkKind;
-import org.ebonyrun.platform.standin.Stutter;
-import org.ebonyrun.platform.standin.StutteringEndpoint;
+import org.ebonyrun.platform.standin.FaultInjectingEndpoint;
+import org.ebonyrun.platform.standin.FaultInjector;
 import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -30,12 +30,12 @@
     private static final int JOBS = 6;
 
     private AsyncHttpClient mCaller;
-    private StutteringEndpoint mService;
+    private FaultInjectingEndpoint mService;
 
     @BeforeEach
     void start() throws IOException {
         mCaller = AsyncHttpClient.start();
-        mService = StutteringEndpoint.start("i-1", 1, Stutter.never());
+        mService = FaultInjectingEndpoint.start("i-1", 1, FaultInjector.disabled());
     }
 
     @AfterEach
@@ -45,9 +45,10 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Stutter.Repeat.class)
-    void jobsInTurnGetTheirOwnAnswersWhenAnswersComeTwice(Stutter.Repeat repeat) throws Exception {
-        mService.stutter(Stutter.always(repeat));
+    @EnumSource(FaultInjector.Repeat.class)
+    void jobsInTurnGetTheirOwnAnswersWhenAnswersComeTwice(FaultInjector.Repeat repeat)
+            throws Exception {
+        mService.setFaultInjector(FaultInjector.repeating(repeat));
         Answers answers = new Answers();
         URI base = URI.create("http://127.0.0.1:" + mService.address().getPort());
         PlainAdapter adapter = PlainAdapter.create(mCaller, base, answers);
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import org.ebonyrun.base.json.JsonTrees;
-import org.ebonyrun.platform.standin.StandinScene;
-import org.ebonyrun.platform.standin.Stutter;
-import org.ebonyrun.platform.standin.StutteringEndpoint;
-import org.ebonyrun.platform.standin.StutteringEndpoint.Event;
-import org.ebonyrun.platform.standin.StutteringEndpoint.Received;
+import org.ebonyrun.platform.standin.FaultInjectingEndpoint;
+import org.ebonyrun.platform.standin.FaultInjectingEndpoint.Event;
+import org.ebonyrun.platform.standin.FaultInjectingEndpoint.ReceivedRequest;
+import org.ebonyrun.platform.standin.FaultInjector;
+import org.ebonyrun.platform.standin.StandinDeployment;
 import org.ebonyrun.ports.http.HttpRequest;
 import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.AfterEach;
@@ -38,11 +38,13 @@
     private static final long CALLER_MILLIS = 19_000;
     private static final int OK = 200;
 
-    StutteringEndpoint mEndpoint;
+    FaultInjectingEndpoint mEndpoint;
 
     @BeforeEach
     void replaceEndpoint() throws IOException {
-        mEndpoint = StutteringEndpoint.start("i-2", mScene.events(), Stutter.never());
+        mEndpoint =
+                FaultInjectingEndpoint.start(
+                        "i-2", mScene.eventsPerSample(), FaultInjector.disabled());
         mScene.unregister("i-1");
         mScene.register(mEndpoint.id(), mEndpoint.address(), "ready", 1);
         callUntilServedBy(mFirstFront, mEndpoint);
@@ -55,7 +57,7 @@
     }
 
     /** Sends calls to an entry until an endpoint has received one. */
-    void callUntilServedBy(String front, StutteringEndpoint endpoint) {
+    void callUntilServedBy(String front, FaultInjectingEndpoint endpoint) {
         boolean served = false;
         for (int i = 0; i < MAX_WARM_UP_CALLS && !served; i++) {
             String id = "warm-" + front + "-" + i;
@@ -77,7 +79,7 @@
                 HttpRequest.to(
                         "POST",
                         URI.create("http://" + front + path),
-                        StandinScene.headers(id, deadlineMillis),
+                        StandinDeployment.headers(id, deadlineMillis),
                         bytes,
                         CALLER_MILLIS + TIMEOUT_MILLIS);
         return mCaller.request(call, "test")
@@ -124,7 +126,7 @@
      * Checks that a text has every event and that each of its parts starts at the event from which
      * the endpoint was asked to continue.
      */
-    static void checkText(JsonNode result, int events, List<Received> received) {
+    static void checkText(JsonNode result, int events, List<ReceivedRequest> received) {
         String sample = result.path("id").asText();
         String text = result.path("text").asText();
         String why = sample + " is listed as " + result;
@@ -137,17 +139,17 @@
             Event event = Event.parse(lines[i]);
             assertThat(why, event.sample(), is(sample));
             assertThat(why, event.number(), is(i + 1));
-            if (!event.run().equals(run)) {
-                run = event.run();
+            if (!event.runId().equals(run)) {
+                run = event.runId();
                 assertThat(why + ", run " + run, firstEvent(run, received), is(i));
             }
         }
     }
 
     /** Returns the event after which a run was asked to continue. */
-    private static int firstEvent(String run, List<Received> received) {
+    private static int firstEvent(String run, List<ReceivedRequest> received) {
         return received.stream()
-                .filter(r -> r.run().equals(run))
+                .filter(r -> r.runId().equals(run))
                 .mapToInt(r -> r.request().lastEvent())
                 .findFirst()
                 .orElseThrow(() -> new AssertionError("no run " + run));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
@@ -21,10 +21,10 @@
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import org.ebonyrun.base.json.JsonTrees;
-import org.ebonyrun.platform.standin.StandinScene;
-import org.ebonyrun.platform.standin.Stutter;
-import org.ebonyrun.platform.standin.StutteringEndpoint;
-import org.ebonyrun.platform.standin.StutteringEndpoint.Received;
+import org.ebonyrun.platform.standin.FaultInjectingEndpoint;
+import org.ebonyrun.platform.standin.FaultInjectingEndpoint.ReceivedRequest;
+import org.ebonyrun.platform.standin.FaultInjector;
+import org.ebonyrun.platform.standin.StandinDeployment;
 import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.function.Executable;
@@ -76,7 +76,7 @@
     private final Deque<Step> mOpenSteps = new ArrayDeque<>();
     private final List<String> mSamples = new ArrayList<>();
     private final List<List<JsonNode>> mListed = new ArrayList<>();
-    private StutteringEndpoint mOther;
+    private FaultInjectingEndpoint mOther;
     private Random mRandom;
     private int mPolls;
 
@@ -96,10 +96,13 @@
     @MethodSource("seeds")
     void responsesMatchWhatTheEndpointsDid(long seed) throws IOException {
         mRandom = new Random(seed);
-        mOther = StutteringEndpoint.start("i-3", mScene.events(), Stutter.never());
+        mOther =
+                FaultInjectingEndpoint.start(
+                        "i-3", mScene.eventsPerSample(), FaultInjector.disabled());
         mScene.register(mOther.id(), mOther.address(), "ready", 1);
-        mEndpoint.stutter(Stutter.seeded(mRandom.nextLong(), SINGLE_RESPONSE_PREFIX));
-        mOther.stutter(Stutter.seeded(mRandom.nextLong(), SINGLE_RESPONSE_PREFIX));
+        mEndpoint.setFaultInjector(
+                FaultInjector.seeded(mRandom.nextLong(), SINGLE_RESPONSE_PREFIX));
+        mOther.setFaultInjector(FaultInjector.seeded(mRandom.nextLong(), SINGLE_RESPONSE_PREFIX));
         int versionAt = mRandom.nextInt(ACTIONS);
         for (int i = 0; i < ACTIONS; i++) {
             if (i == versionAt) {
@@ -143,7 +146,7 @@
 
     private void call(String id, boolean onceOnly) {
         String body = "body of " + id;
-        String path = onceOnly ? mScene.onceOnlyPath() : mScene.callPath();
+        String path = onceOnly ? mScene.nonIdempotentCallPath() : mScene.callPath();
         Call call =
                 new Call(
                         id, onceOnly, body, sendAsync(anyFront(), path, id, body, DEADLINE_MILLIS));
@@ -233,17 +236,17 @@
         return results;
     }
 
-    private List<Received> received(String key) {
+    private List<ReceivedRequest> received(String key) {
         return Stream.concat(mEndpoint.received(key).stream(), mOther.received(key).stream())
                 .toList();
     }
 
-    private List<Received> runs(String key) {
-        return received(key).stream().filter(Received::ran).toList();
+    private List<ReceivedRequest> runs(String key) {
+        return received(key).stream().filter(ReceivedRequest::ran).toList();
     }
 
     private List<Integer> runStatuses(String key) {
-        return runs(key).stream().map(Received::status).toList();
+        return runs(key).stream().map(ReceivedRequest::status).toList();
     }
 
     private void check(String seed) {
@@ -260,14 +263,14 @@
             checks.add(() -> assertThat(readAll(step, () -> mSecondFront), is(listed)));
         }
         // From here on endpoints carry out every order, so a wrong version means a missing order.
-        mEndpoint.stutter(Stutter.never());
-        mOther.stutter(Stutter.never());
+        mEndpoint.setFaultInjector(FaultInjector.disabled());
+        mOther.setFaultInjector(FaultInjector.disabled());
         pollUntil(
                 VERSION_POLLS, () -> mEndpoint.version() >= VERSION && mOther.version() >= VERSION);
-        for (StutteringEndpoint endpoint : List.of(mEndpoint, mOther)) {
+        for (FaultInjectingEndpoint endpoint : List.of(mEndpoint, mOther)) {
             String id = endpoint.id();
             checks.add(() -> assertThat(id, endpoint.version(), is(VERSION)));
-            checks.add(() -> assertThat(id, endpoint.sameConnectionRepeats(), is(List.of())));
+            checks.add(() -> assertThat(id, endpoint.idsRepeatedOnConnection(), is(List.of())));
         }
         assertAll(seed, checks.stream());
     }
@@ -296,7 +299,7 @@
     private void check(String why, Step step, JsonNode result) {
         String sample = result.path("id").asText();
         assertThat(why, sample, is(in(step.samples())));
-        String scorer = StandinScene.scoreId(sample);
+        String scorer = StandinDeployment.scoreId(sample);
         if (result.path("state").asText().equals("dead")) {
             boolean impossible = runStatuses(sample).contains(422);
             int failures = Math.max(failures(sample), step.scored() ? failures(scorer) : 0);
@@ -305,12 +308,12 @@
             }
             return;
         }
-        checkText(result, mScene.events(), received(sample));
+        checkText(result, mScene.eventsPerSample(), received(sample));
         if (step.scored()) {
             String score = result.path("score").asText();
             long matching =
                     runs(scorer).stream()
-                            .filter(r -> r.status() == 200 && score.endsWith("#" + r.run()))
+                            .filter(r -> r.status() == 200 && score.endsWith("#" + r.runId()))
                             .count();
             assertThat(why + ", scored in " + runs(scorer), matching, is(greaterThan(0L)));
         }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
@@ -9,12 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.ebonyrun.platform.standin.Stutter;
-import org.ebonyrun.platform.standin.Stutter.Framing;
-import org.ebonyrun.platform.standin.Stutter.Hold;
-import org.ebonyrun.platform.standin.Stutter.Plan;
-import org.ebonyrun.platform.standin.Stutter.Repeat;
-import org.ebonyrun.platform.standin.Stutter.Reply;
+import org.ebonyrun.platform.standin.FaultInjector;
+import org.ebonyrun.platform.standin.FaultInjector.Framing;
+import org.ebonyrun.platform.standin.FaultInjector.Hold;
+import org.ebonyrun.platform.standin.FaultInjector.Plan;
+import org.ebonyrun.platform.standin.FaultInjector.Repeat;
+import org.ebonyrun.platform.standin.FaultInjector.Reply;
 import org.ebonyrun.ports.http.HttpResponse;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -33,17 +33,20 @@
     private static final long SHORT_DEADLINE_MILLIS = 30;
     private static final int SHORT_CALLS = 5;
     private static final Plan RUN = Plan.of(Reply.RUN);
-    private static final Plan DUPLICATED = RUN.repeated(Repeat.LATE);
+    private static final Plan DUPLICATED = RUN.withRepeat(Repeat.LATE);
     // Responds behind a duplicate so late that an entry which took the duplicate for this response
     // has already acted on it.
-    private static final Plan DELAYED = RUN.held(Hold.BEHIND_ANOTHER, Stutter.UNTIL_RELEASED);
+    private static final Plan DELAYED =
+            RUN.withHold(Hold.BEHIND_ANOTHER, FaultInjector.UNTIL_RELEASED);
 
     @Test
     void nonIdempotentCallRunsOnceDespiteDuplicateRejection() {
-        Plan rejection = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE);
-        mEndpoint.stutter(Stutter.scripted(Map.of("u1", List.of(rejection, DELAYED))));
+        Plan rejection = Plan.of(Reply.NOT_RUN).withRepeat(Repeat.LATE);
+        mEndpoint.setFaultInjector(
+                FaultInjector.scripted(Map.of("u1", List.of(rejection, DELAYED))));
         HttpResponse response =
-                awaitResponse(sendAsync(mFirstFront, mScene.onceOnlyPath(), "u1", "pay"), "u1");
+                awaitResponse(
+                        sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "u1", "pay"), "u1");
 
         assertThat("runs of the call", mEndpoint.runs("u1").size(), is(1));
         checkEchoed(response, "pay");
@@ -52,14 +55,19 @@
     @ParameterizedTest
     @ValueSource(longs = {60, 70, 80, 90, 100, 110, 120, 130})
     void runningCallIsNotRefusedAtItsDeadlineDespiteDuplicateRejection(long deadlineMillis) {
-        Plan rejection = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE);
-        mEndpoint.stutter(request -> request.sentBefore() == 0 ? rejection : DELAYED);
+        Plan rejection = Plan.of(Reply.NOT_RUN).withRepeat(Repeat.LATE);
+        mEndpoint.setFaultInjector(
+                request -> request.timesReceivedBefore() == 0 ? rejection : DELAYED);
         for (int i = 0; i < SHORT_CALLS; i++) {
             String id = "u2-" + i;
             HttpResponse response =
                     awaitResponse(
                             sendAsync(
-                                    mFirstFront, mScene.onceOnlyPath(), id, "pay", deadlineMillis),
+                                    mFirstFront,
+                                    mScene.nonIdempotentCallPath(),
+                                    id,
+                                    "pay",
+                                    deadlineMillis),
                             id);
             int runs = mEndpoint.runs(id).size();
             // Releases what is held back, so that each call gets only its own rejection.
@@ -82,10 +90,11 @@
     })
     void nonIdempotentCallGetsItsOwnResponseAfterDuplicateOfAnotherCall(
             Reply reply, Repeat repeat, Framing framing) {
-        Plan other = Plan.of(reply).repeated(repeat).framed(framing, framing);
-        mEndpoint.stutter(Stutter.scripted(Map.of("x1", List.of(other))));
-        sendAsync(mFirstFront, mScene.onceOnlyPath(), "x1", "other").join();
-        HttpResponse own = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u3", "pay").join();
+        Plan other = Plan.of(reply).withRepeat(repeat).withFraming(framing, framing);
+        mEndpoint.setFaultInjector(FaultInjector.scripted(Map.of("x1", List.of(other))));
+        sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "x1", "other").join();
+        HttpResponse own =
+                sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "u3", "pay").join();
 
         checkEchoed(own, "pay");
         assertThat("runs of the call", mEndpoint.runs("u3").size(), is(1));
@@ -93,7 +102,7 @@
 
     @Test
     void consecutiveCallsGetTheirOwnResponsesIfEachResponseIsDuplicated() {
-        mEndpoint.stutter(Stutter.always(Repeat.LATE));
+        mEndpoint.setFaultInjector(FaultInjector.repeating(Repeat.LATE));
         List<Integer> runs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             String id = "turn-" + i;
@@ -108,9 +117,10 @@
 
     @Test
     void sampleIsNotAbandonedBecauseOfDuplicateFailures() {
-        Plan failure = Plan.of(Reply.FAILED).repeated(Repeat.LATE);
-        Plan delayed = failure.held(Hold.BEHIND_ANOTHER, Stutter.UNTIL_RELEASED);
-        mEndpoint.stutter(Stutter.scripted(Map.of("p1", List.of(failure, delayed, RUN))));
+        Plan failure = Plan.of(Reply.FAILED).withRepeat(Repeat.LATE);
+        Plan delayed = failure.withHold(Hold.BEHIND_ANOTHER, FaultInjector.UNTIL_RELEASED);
+        mEndpoint.setFaultInjector(
+                FaultInjector.scripted(Map.of("p1", List.of(failure, delayed, RUN))));
         submit(mFirstFront, "st1", mScene.stepBody(1, List.of("p1"), false));
         pollUntil(RETRY_POLLS, () -> mEndpoint.received("p1").size() > 2);
         mEndpoint.release();
@@ -119,14 +129,16 @@
 
         assertThat(
                 "state after " + failures + " failures", result.path("state").asText(), is("done"));
-        checkText(result, mScene.events(), mEndpoint.received());
+        checkText(result, mScene.eventsPerSample(), mEndpoint.received());
     }
 
     @Test
     void sampleOfLaterStepIsCompleteAfterDuplicateOfResponseWithoutEvents() {
         Plan unframed =
-                RUN.framed(Framing.CLOSE, Framing.CLOSE).held(Hold.ALWAYS, Stutter.UNTIL_RELEASED);
-        mEndpoint.stutter(Stutter.scripted(Map.of("p1", List.of(unframed, DUPLICATED, RUN))));
+                RUN.withFraming(Framing.CLOSE, Framing.CLOSE)
+                        .withHold(Hold.ALWAYS, FaultInjector.UNTIL_RELEASED);
+        mEndpoint.setFaultInjector(
+                FaultInjector.scripted(Map.of("p1", List.of(unframed, DUPLICATED, RUN))));
         submit(mFirstFront, "st2", mScene.stepBody(2, List.of("p1", "p2"), false));
         readResults(mFirstFront, "st2", 1);
         pollUntil(RETRY_POLLS, () -> !mEndpoint.runs("p1").isEmpty());
@@ -135,14 +147,18 @@
         // A lower step number, so that no text of the first step is carried over.
         submit(mFirstFront, "st3", mScene.stepBody(1, List.of("p1"), false));
 
-        checkText(readResults(mFirstFront, "st3", 1).get(0), mScene.events(), mEndpoint.received());
+        checkText(
+                readResults(mFirstFront, "st3", 1).get(0),
+                mScene.eventsPerSample(),
+                mEndpoint.received());
     }
 
     @Test
     void brokenStreamIsContinuedOnceDespiteDuplicateOfAnotherCall() {
-        Plan broken = Plan.brokenAfter(2).held(Hold.ALWAYS, Stutter.UNTIL_RELEASED);
-        mEndpoint.stutter(
-                Stutter.scripted(Map.of("p1", List.of(broken, RUN), "x1", List.of(DUPLICATED))));
+        Plan broken = Plan.brokenAfter(2).withHold(Hold.ALWAYS, FaultInjector.UNTIL_RELEASED);
+        mEndpoint.setFaultInjector(
+                FaultInjector.scripted(
+                        Map.of("p1", List.of(broken, RUN), "x1", List.of(DUPLICATED))));
         submit(mFirstFront, "st4", mScene.stepBody(1, List.of("p1"), false));
         pollUntil(RETRY_POLLS, () -> !mEndpoint.runs("p1").isEmpty());
         // The first run occupies a connection, so this call leaves its duplicate on another one.
@@ -150,7 +166,7 @@
         mEndpoint.release();
         JsonNode result = readResults(mFirstFront, "st4", 1).get(0);
 
-        checkText(result, mScene.events(), mEndpoint.received());
+        checkText(result, mScene.eventsPerSample(), mEndpoint.received());
         List<Integer> requested =
                 mEndpoint.received("p1").stream().map(r -> r.request().lastEvent()).toList();
         assertThat("events after which runs were requested", requested, is(List.of(0, 2)));
@@ -159,13 +175,13 @@
     @ParameterizedTest
     @CsvSource({"LATE", "LATE_IN_PIECES", "AT_ONCE"})
     void samplesAreCompleteAndRunOnceIfStreamsAreDuplicated(Repeat repeat) {
-        mEndpoint.stutter(Stutter.always(repeat));
+        mEndpoint.setFaultInjector(FaultInjector.repeating(repeat));
         for (int i = 1; i <= 4; i++) {
             String step = "st5-" + i;
             List<String> samples = List.of("p" + i + "a", "p" + i + "b", "p" + i + "c");
             submit(mFirstFront, step, mScene.stepBody(i, samples, false));
             for (JsonNode result : readResults(mFirstFront, step, samples.size())) {
-                checkText(result, mScene.events(), mEndpoint.received());
+                checkText(result, mScene.eventsPerSample(), mEndpoint.received());
             }
             for (String sample : samples) {
                 assertThat("runs of " + sample, mEndpoint.runs(sample).size(), is(1));
@@ -175,8 +191,8 @@
 
     @Test
     void versionIsOrderedAgainIfDuplicateReportHidesRejectedOrder() {
-        mEndpoint.stutter(
-                Stutter.scripted(
+        mEndpoint.setFaultInjector(
+                FaultInjector.scripted(
                         Map.of(
                                 mScene.reportPath(), List.of(DUPLICATED, RUN),
                                 mScene.orderPath(), List.of(Plan.of(Reply.CONFLICT), RUN))));
@@ -188,8 +204,8 @@
 
     @Test
     void versionIsOrderedAgainIfDuplicateOrderResponseShiftsLaterResponses() {
-        mEndpoint.stutter(
-                Stutter.scripted(
+        mEndpoint.setFaultInjector(
+                FaultInjector.scripted(
                         Map.of(
                                 mScene.reportPath(), List.of(DELAYED),
                                 mScene.orderPath(),
@@ -205,8 +221,8 @@
 
     @Test
     void nonIdempotentCallRunsOnceDespitePrecedingRejectionWithoutRequestId() {
-        Plan rejection = Plan.of(Reply.NOT_RUN).repeated(Repeat.LATE).withoutIdWhenRepeated();
-        mEndpoint.stutter(request -> request.key().startsWith("x-") ? rejection : DELAYED);
+        Plan rejection = Plan.of(Reply.NOT_RUN).withRepeat(Repeat.LATE).withoutRequestIdInRepeat();
+        mEndpoint.setFaultInjector(request -> request.key().startsWith("x-") ? rejection : DELAYED);
         boolean rejectedOnce = false;
         for (int i = 0; i < MAX_TRIES && !rejectedOnce; i++) {
             String id = "x-" + i;
@@ -214,17 +230,19 @@
             rejectedOnce = mEndpoint.received(id).size() == 1;
         }
         HttpResponse response =
-                awaitResponse(sendAsync(mFirstFront, mScene.onceOnlyPath(), "u4", "pay"), "u4");
+                awaitResponse(
+                        sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "u4", "pay"), "u4");
 
         checkRunOnceOrLost("u4", response);
     }
 
     @Test
     void nonIdempotentCallDoesNotFailDespitePrecedingFailureWithoutRequestId() {
-        Plan failure = Plan.of(Reply.FAILED).repeated(Repeat.LATE).withoutIdWhenRepeated();
-        mEndpoint.stutter(Stutter.scripted(Map.of("x1", List.of(failure))));
-        sendAsync(mFirstFront, mScene.onceOnlyPath(), "x1", "other").join();
-        HttpResponse response = sendAsync(mFirstFront, mScene.onceOnlyPath(), "u5", "pay").join();
+        Plan failure = Plan.of(Reply.FAILED).withRepeat(Repeat.LATE).withoutRequestIdInRepeat();
+        mEndpoint.setFaultInjector(FaultInjector.scripted(Map.of("x1", List.of(failure))));
+        sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "x1", "other").join();
+        HttpResponse response =
+                sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "u5", "pay").join();
 
         checkRunOnceOrLost("u5", response);
     }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void aCallThatAnEndpointRefusedIsTriedAgain() {
-        mScene.endpoint().refuseNext(1);
+        mScene.endpoint().rejectNext(1);
         HttpResponse reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
 
         assertThat(reply.status(), is(200));
@@ -57,7 +57,9 @@
         assertThat(
                 send(mSecondFront, "POST", mScene.stepPath(), "st1", mScene.stepBody()).status(),
                 is(202));
-        String text = StandinEndpoint.text("sample-1", mScene.events()).replace("\n", "\\n");
+        String text =
+                StandinEndpoint.completeText("sample-1", mScene.eventsPerSample())
+                        .replace("\n", "\\n");
         String own = readResults(mFirstFront, "st1");
         String other = readResults(mSecondFront, "st1");
 
@@ -65,7 +67,9 @@
         assertThat(own, containsString("\"score\":\"stamp-score-1\""));
         assertThat(own, containsString("\"versions\":[1]"));
         assertThat(other, is(own));
-        assertThat(mScene.endpoint().seen().stream().filter("sample-1@0"::equals).count(), is(1L));
+        assertThat(
+                mScene.endpoint().requestsRun().stream().filter("sample-1@0"::equals).count(),
+                is(1L));
         assertThat(
                 send(mSecondFront, "GET", mScene.samplePath("st1"), "", "").body().length, is(3));
     }
@@ -74,10 +78,14 @@
     void aBrokenStreamGoesOnAfterItsLastEvent() {
         mScene.endpoint().breakNextAfter(2);
         send(mFirstFront, "POST", mScene.stepPath(), "st2", mScene.stepBody());
-        String text = StandinEndpoint.text("sample-1", mScene.events()).replace("\n", "\\n");
+        String text =
+                StandinEndpoint.completeText("sample-1", mScene.eventsPerSample())
+                        .replace("\n", "\\n");
 
         assertThat(readResults(mFirstFront, "st2"), containsString(text));
-        assertThat(mScene.endpoint().seen().stream().anyMatch(run -> run.endsWith("@2")), is(true));
+        assertThat(
+                mScene.endpoint().requestsRun().stream().anyMatch(run -> run.endsWith("@2")),
+                is(true));
     }
 
     @Test
@@ -85,40 +93,52 @@
         send(mFirstFront, "POST", mScene.stepPath(), "st3", mScene.stepBody());
         readResults(mFirstFront, "st3");
 
-        assertThat(send(mSecondFront, "DELETE", mScene.endPath("st3"), "", "").status(), is(200));
-        assertThat(send(mFirstFront, "DELETE", mScene.endPath("st3"), "", "").status(), is(200));
+        assertThat(
+                send(mSecondFront, "DELETE", mScene.stepEndPath("st3"), "", "").status(), is(200));
+        assertThat(
+                send(mFirstFront, "DELETE", mScene.stepEndPath("st3"), "", "").status(), is(200));
         assertThat(readResults(mSecondFront, "st3"), containsString("sample-2"));
     }
 
     @Test
     void aLaterStepGoesOnWithTheTextsThatAnEndedOneLeft() {
-        mScene.endpoint().breakAllAt(2);
+        mScene.endpoint().breakAllAfterEvent(2);
         send(mFirstFront, "POST", mScene.stepPath(), "st8", mScene.stepBody(1));
-        awaitTrue(() -> mScene.endpoint().seen().containsAll(List.of("sample-1@2", "sample-2@2")));
-        send(mSecondFront, "DELETE", mScene.endPath("st8"), "", "");
+        awaitTrue(
+                () ->
+                        mScene.endpoint()
+                                .requestsRun()
+                                .containsAll(List.of("sample-1@2", "sample-2@2")));
+        send(mSecondFront, "DELETE", mScene.stepEndPath("st8"), "", "");
         String texts = StoreKeys.checkpointKey(StepId.of("st8"));
         awaitTrue(() -> mScene.platform().store().get(texts) != null);
-        mScene.endpoint().breakAllAt(0);
+        mScene.endpoint().breakAllAfterEvent(0);
         send(mSecondFront, "POST", mScene.stepPath(), "st9", mScene.stepBody(2));
-        String text = StandinEndpoint.text("sample-2", mScene.events()).replace("\n", "\\n");
+        String text =
+                StandinEndpoint.completeText("sample-2", mScene.eventsPerSample())
+                        .replace("\n", "\\n");
 
         assertThat(readResults(mFirstFront, "st9"), containsString("\"text\":\"" + text + "\""));
-        List<String> seen = mScene.endpoint().seen();
+        List<String> seen = mScene.endpoint().requestsRun();
         assertThat(seen.stream().filter(run -> run.matches("sample.*@0")).count(), is(2L));
     }
 
     @Test
     void withoutCarriedTextsALaterStepBeginsAnew() throws IOException {
         restartWithout(Mechanism.CARRIED_TEXTS);
-        mScene.endpoint().breakAllAt(2);
+        mScene.endpoint().breakAllAfterEvent(2);
         send(mFirstFront, "POST", mScene.stepPath(), "st12", mScene.stepBody(1));
-        awaitTrue(() -> mScene.endpoint().seen().containsAll(List.of("sample-1@2", "sample-2@2")));
-        send(mSecondFront, "DELETE", mScene.endPath("st12"), "", "");
-        mScene.endpoint().breakAllAt(0);
+        awaitTrue(
+                () ->
+                        mScene.endpoint()
+                                .requestsRun()
+                                .containsAll(List.of("sample-1@2", "sample-2@2")));
+        send(mSecondFront, "DELETE", mScene.stepEndPath("st12"), "", "");
+        mScene.endpoint().breakAllAfterEvent(0);
         send(mSecondFront, "POST", mScene.stepPath(), "st13", mScene.stepBody(2));
 
         assertThat(readResults(mFirstFront, "st13"), containsString("sample-2"));
-        List<String> seen = mScene.endpoint().seen();
+        List<String> seen = mScene.endpoint().requestsRun();
         assertThat(seen.stream().filter(run -> run.matches("sample.*@0")).count(), is(4L));
         String texts = StoreKeys.checkpointKey(StepId.of("st12"));
         assertThat(mScene.platform().store().get(texts), is(nullValue()));
@@ -126,34 +146,36 @@
 
     @Test
     void unreadableTextsOfAnEndedStepAreNotUsed() {
-        mScene.endpoint().breakAllAt(2);
+        mScene.endpoint().breakAllAfterEvent(2);
         send(mFirstFront, "POST", mScene.stepPath(), "st10", mScene.stepBody(1));
-        awaitTrue(() -> mScene.endpoint().seen().contains("sample-1@2"));
-        send(mSecondFront, "DELETE", mScene.endPath("st10"), "", "");
+        awaitTrue(() -> mScene.endpoint().requestsRun().contains("sample-1@2"));
+        send(mSecondFront, "DELETE", mScene.stepEndPath("st10"), "", "");
         String texts = StoreKeys.checkpointKey(StepId.of("st10"));
         awaitTrue(() -> mScene.platform().store().get(texts) != null);
         String broken = "{\"texts\":[{\"id\":\"sample-1\",\"events\":[\"x\"],\"versions\":[]}]}";
         mScene.platform().put(texts, broken);
-        mScene.endpoint().breakAllAt(0);
+        mScene.endpoint().breakAllAfterEvent(0);
         send(mSecondFront, "POST", mScene.stepPath(), "st11", mScene.stepBody(2));
-        String text = StandinEndpoint.text("sample-1", mScene.events()).replace("\n", "\\n");
+        String text =
+                StandinEndpoint.completeText("sample-1", mScene.eventsPerSample())
+                        .replace("\n", "\\n");
 
         assertThat(readResults(mFirstFront, "st11"), containsString("\"text\":\"" + text + "\""));
     }
 
     @Test
     void aStepWhoseOwnerStopsIsFinishedByAnotherEntry() throws InterruptedException {
-        mScene.endpoint().refuseNext(1_000_000);
+        mScene.endpoint().rejectNext(1_000_000);
         send(mFirstFront, "POST", mScene.stepPath(), "st4", mScene.stepBody());
         mFirstEntry.drain();
-        mScene.endpoint().refuseNext(0);
+        mScene.endpoint().rejectNext(0);
 
         assertThat(readResults(mSecondFront, "st4"), containsString("sample-2"));
     }
 
     @Test
     void aStepIsNotGivenUpByAnEntryThatDoesNotKnowItsRoute() throws IOException {
-        mScene.endpoint().refuseNext(Integer.MAX_VALUE);
+        mScene.endpoint().rejectNext(Integer.MAX_VALUE);
         send(mFirstFront, "POST", mScene.stepPath(), "step-8", mScene.stepBody());
         mFirstEntry.close();
         mSecondEntry.close();
@@ -163,7 +185,7 @@
         // Ends at once if the entry takes the step from the process before it on its VM.
         sendUntil(reply -> reply.text().contains("taken"), mMetricsAddress, "GET", "/metrics", "");
         mScene.configure(1);
-        mScene.endpoint().refuseNext(0);
+        mScene.endpoint().rejectNext(0);
 
         String results = readResults(mFirstFront, "step-8");
         assertThat(results, containsString("\"state\":\"done\""));
@@ -194,13 +216,13 @@
 
     @Test
     void whileTheStoreRefusesNoStepIsAcceptedAndCallsAreServed() {
-        mScene.platform().refuseWith(call -> 503);
+        mScene.platform().setFailureStatus(call -> 503);
 
         assertThat(
                 send(mFirstFront, "POST", mScene.stepPath(), "st5", mScene.stepBody()).status(),
                 is(503));
         assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "x").status(), is(200));
-        mScene.platform().refuseWith(call -> 0);
+        mScene.platform().setFailureStatus(call -> 0);
         assertThat(
                 sendUntil(
                                 reply -> reply.status() == 404,
@@ -210,7 +232,7 @@
                                 "")
                         .status(),
                 is(404));
-        assertThat(mScene.endpoint().seen(), not(hasItem("sample-1@0")));
+        assertThat(mScene.endpoint().requestsRun(), not(hasItem("sample-1@0")));
     }
 
     @Test
@@ -218,7 +240,7 @@
         // The first step brings the lease, so that the next call of the store is the acceptance.
         send(mFirstFront, "POST", mScene.stepPath(), "st6", mScene.stepBody());
         readResults(mFirstFront, "st6");
-        mScene.platform().loseCommits(1);
+        mScene.platform().dropCommitResponses(1);
         int status =
                 send(mFirstFront, "POST", mScene.stepPath(), "st7", mScene.stepBody()).status();
 
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
@@ -17,7 +17,7 @@
 import org.ebonyrun.base.json.JsonTrees;
 import org.ebonyrun.base.log.EventLog;
 import org.ebonyrun.core.policy.Mechanism;
-import org.ebonyrun.platform.standin.StandinScene;
+import org.ebonyrun.platform.standin.StandinDeployment;
 import org.ebonyrun.ports.http.AsyncHttpClient;
 import org.ebonyrun.ports.http.HttpRequest;
 import org.ebonyrun.ports.http.HttpResponse;
@@ -40,7 +40,7 @@
     // Above the time that the configuration allows for headers.
     static final int SOCKET_TIMEOUT_MILLIS = 10_000;
 
-    StandinScene mScene;
+    StandinDeployment mScene;
     AsyncHttpClient mCaller;
     String mFirstFront;
     String mSecondFront;
@@ -51,7 +51,7 @@
 
     @BeforeEach
     void start() throws IOException {
-        mScene = StandinScene.start(freeAddress(), freeAddress());
+        mScene = StandinDeployment.start(freeAddress(), freeAddress());
         mCaller = AsyncHttpClient.start();
         startEntries();
     }
@@ -91,7 +91,7 @@
                         .replace(
                                 "10.1.0.35:9464",
                                 vm.equals("edge-1") ? mMetricsAddress : text(freeAddress()))
-                        .replace("10.200.1.7:8142", text(mScene.store()));
+                        .replace("10.200.1.7:8142", text(mScene.storeAddress()));
         HostedSettings parsed = HostedSettings.parse("test", settings + mPolicy).settings();
         return HostedEntry.start(parsed, EventLog.start(OutputStream.nullOutputStream()));
     }
@@ -119,7 +119,7 @@
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         URI uri = URI.create("http://" + front + path);
         HttpRequest call =
-                HttpRequest.to(method, uri, StandinScene.headers(id), bytes, TIMEOUT_MILLIS);
+                HttpRequest.to(method, uri, StandinDeployment.headers(id), bytes, TIMEOUT_MILLIS);
         return mCaller.request(call, "test").join().fold(r -> r, f -> new HttpResponse(0, bytes));
     }
 
@@ -147,7 +147,7 @@
     String readResults(String front, String step) {
         StringBuilder pages = new StringBuilder();
         int next = 0;
-        for (int i = 0; i < MAX_TRIES && next < mScene.samples(); i++) {
+        for (int i = 0; i < MAX_TRIES && next < mScene.samplesPerStep(); i++) {
             HttpResponse page = send(front, "GET", mScene.resultsPath(step, next), "", "");
             if (page.isSuccess()) {
                 JsonNode json = JsonTrees.read(page.body());
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
@@ -92,10 +92,12 @@
 
     private void begin(Trouble trouble, Random random) {
         switch (trouble) {
-            case STORE_REFUSES_SOME -> mScene.platform().refuseWith(n -> n % 3 == 0 ? 503 : 0);
-            case STORE_LOSES_COMMITS -> mScene.platform().loseCommits(1 + random.nextInt(3));
+            case STORE_REFUSES_SOME ->
+                    mScene.platform().setFailureStatus(n -> n % 3 == 0 ? 503 : 0);
+            case STORE_LOSES_COMMITS ->
+                    mScene.platform().dropCommitResponses(1 + random.nextInt(3));
             case STORE_FORGETS_HISTORY -> mScene.platform().store().compact();
-            case ENDPOINT_REFUSES -> mScene.endpoint().refuseNext(1 + random.nextInt(5));
+            case ENDPOINT_REFUSES -> mScene.endpoint().rejectNext(1 + random.nextInt(5));
             case STREAM_BREAKS -> mScene.endpoint().breakNextAfter(random.nextInt(3));
             default -> {
                 // Goes wrong once the step runs.
@@ -128,7 +130,7 @@
     private boolean during(Trouble trouble, String step) throws IOException {
         switch (trouble) {
             case STORE_REFUSES_ALL -> {
-                mScene.platform().refuseWith(n -> 503);
+                mScene.platform().setFailureStatus(n -> 503);
                 call();
                 String other = "other-" + step;
                 int status =
@@ -139,7 +141,11 @@
             case OWNER_CRASHES -> crashOwner(step);
             case STEP_ENDS_EARLY -> {
                 sendUntil(
-                        HttpResponse::isSuccess, mSecondFront, "DELETE", mScene.endPath(step), "");
+                        HttpResponse::isSuccess,
+                        mSecondFront,
+                        "DELETE",
+                        mScene.stepEndPath(step),
+                        "");
                 return true;
             }
             case VERSION_IS_NAMED -> {
@@ -184,9 +190,9 @@
     }
 
     private void heal() {
-        mScene.platform().refuseWith(n -> 0);
-        mScene.platform().loseCommits(0);
-        mScene.endpoint().refuseNext(0);
+        mScene.platform().setFailureStatus(n -> 0);
+        mScene.platform().dropCommitResponses(0);
+        mScene.endpoint().rejectNext(0);
     }
 
     /**
@@ -210,9 +216,11 @@
 
     /** Checks that each sample is listed whole, and once; at least {@code least} times. */
     private void check(String why, String listed, int least) {
-        for (int i = 1; i <= mScene.samples(); i++) {
+        for (int i = 1; i <= mScene.samplesPerStep(); i++) {
             String sample = "sample-" + i;
-            String text = StandinEndpoint.text(sample, mScene.events()).replace("\n", "\\n");
+            String text =
+                    StandinEndpoint.completeText(sample, mScene.eventsPerSample())
+                            .replace("\n", "\\n");
             int count = count(listed, "\"id\":\"" + sample + "\"");
             assertThat(why + ": " + listed, count, anyOf(is(least), is(1)));
             assertThat(why + ": " + listed, count(listed, "\"text\":\"" + text + "\""), is(count));
