--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StandinCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StandinCommand.java
@@ -47,9 +47,9 @@
 
     @Override
     public int run(Namespace options) throws IOException, InterruptedException {
-        DaemonSettings.Listen listen;
+        DaemonSettings.ListenAddress listen;
         try {
-            listen = DaemonSettings.Listen.parse(options.getString("listen"));
+            listen = DaemonSettings.ListenAddress.parse(options.getString("listen"));
         } catch (IllegalArgumentException e) {
             System.err.println("ebonyrun: " + e.getMessage());
             return ExitStatus.USAGE;
@@ -64,7 +64,8 @@
         return ExitStatus.OK;
     }
 
-    private static URI start(Namespace options, DaemonSettings.Listen listen) throws IOException {
+    private static URI start(Namespace options, DaemonSettings.ListenAddress listen)
+            throws IOException {
         String name = options.getString("name");
         return switch (options.getString("kind")) {
             case "platform" -> platform(options, listen).address();
@@ -87,7 +88,7 @@
         };
     }
 
-    private static StandinPlatform platform(Namespace options, DaemonSettings.Listen listen)
+    private static StandinPlatform platform(Namespace options, DaemonSettings.ListenAddress listen)
             throws IOException {
         StandinPlatform platform = StandinPlatform.start(listen.host(), listen.port());
         String file = options.getString("vms");
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonSettings.java
@@ -36,9 +36,9 @@
         String role,
         VmId vm,
         FailureDomain failureDomain,
-        Listen linkListen,
-        Listen httpListen,
-        Platform platform,
+        ListenAddress linkListen,
+        ListenAddress httpListen,
+        PlatformAddresses platform,
         @Nullable ServiceName service,
         @Nullable URI endpoint,
         boolean engine,
@@ -67,13 +67,13 @@
      * @param host the IP number
      * @param port the port; zero lets the system choose
      */
-    public record Listen(String host, int port) {
+    public record ListenAddress(String host, int port) {
         /**
          * Reads {@code host:port}.
          *
          * @throws IllegalArgumentException if the text has another form
          */
-        public static Listen parse(String text) {
+        public static ListenAddress parse(String text) {
             int colon = text.lastIndexOf(':');
             if (colon <= 0) {
                 throw new IllegalArgumentException(
@@ -83,7 +83,7 @@
             if (port > 65_535) {
                 throw new IllegalArgumentException("port " + port + " is above 65535");
             }
-            return new Listen(text.substring(0, colon), port);
+            return new ListenAddress(text.substring(0, colon), port);
         }
     }
 
@@ -94,7 +94,7 @@
      * @param vms the list of VMs
      * @param weights the weight store
      */
-    public record Platform(URI keyValue, URI vms, URI weights) {}
+    public record PlatformAddresses(URI keyValue, URI vms, URI weights) {}
 
     /**
      * Settings and what is wrong with them.
@@ -171,14 +171,14 @@
         }
     }
 
-    private static Platform platform(SettingsNode node) {
+    private static PlatformAddresses platform(SettingsNode node) {
         node.allow(Set.of("key_value", "vms", "weights"));
-        return new Platform(
+        return new PlatformAddresses(
                 uri(node.get("key_value")), uri(node.get("vms")), uri(node.get("weights")));
     }
 
-    private static Listen listen(SettingsNode node) {
-        return needed(node, Listen::parse, new Listen("127.0.0.1", 0));
+    private static ListenAddress listen(SettingsNode node) {
+        return needed(node, ListenAddress::parse, new ListenAddress("127.0.0.1", 0));
     }
 
     private static URI uri(SettingsNode node) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminHandlers.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminHandlers.java
@@ -17,32 +17,33 @@
     private AdminHandlers() {}
 
     /** Returns the handlers of a process by path. */
-    public static Map<String, HttpHandler> of(AdminSource source) {
+    public static Map<String, HttpHandler> of(ManagedNode source) {
         Map<String, HttpHandler> handlers = new LinkedHashMap<>();
-        handlers.put("/admin/dump", handler((request, out) -> dump(source, out)));
-        handlers.put("/admin/drain", handler((request, out) -> drain(source, request, out)));
-        handlers.put("/admin/log-level", handler(AdminHandlers::logLevel));
-        handlers.put("/ready", handler((request, out) -> ready(source, out)));
+        handlers.put("/admin/dump", asyncHandler((request, out) -> dump(source, out)));
+        handlers.put("/admin/drain", asyncHandler((request, out) -> drain(source, request, out)));
+        handlers.put("/admin/log-level", asyncHandler(AdminHandlers::logLevel));
+        handlers.put("/ready", asyncHandler((request, out) -> ready(source, out)));
         handlers.put(
-                "/metrics", handler((request, out) -> out.sendWhole(200, TEXT, source.metrics())));
+                "/metrics",
+                asyncHandler((request, out) -> out.sendWhole(200, TEXT, source.metrics())));
         return handlers;
     }
 
     /** Answers one request. Implementations must not block. */
     @FunctionalInterface
-    public interface Action {
+    public interface AsyncRequestHandler {
         /** Answers the request, now or later. */
-        void run(Request request, Responder out);
+        void handle(Request request, Responder out);
     }
 
     /** Returns a handler that runs an action with a suspended response. */
-    public static HttpHandler handler(Action action) {
+    public static HttpHandler asyncHandler(AsyncRequestHandler action) {
         return new HttpHandler() {
             @Override
             public void service(Request request, Response response) {
                 Responder out = Responder.suspend(response);
                 try {
-                    action.run(request, out);
+                    action.handle(request, out);
                 } catch (RuntimeException e) {
                     Logger.error(e, "path={} failed", request.getRequestURI());
                     out.sendWhole(500, JSON, Json.write(Map.of("error", "internal")));
@@ -51,7 +52,7 @@
         };
     }
 
-    private static void dump(AdminSource source, Responder out) {
+    private static void dump(ManagedNode source, Responder out) {
         source.dump()
                 .whenComplete(
                         (state, error) -> {
@@ -63,7 +64,7 @@
                         });
     }
 
-    private static void drain(AdminSource source, Request request, Responder out) {
+    private static void drain(ManagedNode source, Request request, Responder out) {
         if (!request.getMethod().getMethodString().equals("POST")) {
             out.sendWhole(405, JSON, Json.write(Map.of("error", "use POST")));
             return;
@@ -88,7 +89,7 @@
         }
     }
 
-    private static void ready(AdminSource source, Responder out) {
+    private static void ready(ManagedNode source, Responder out) {
         boolean ready = source.isReady();
         out.sendWhole(ready ? 200 : 503, JSON, Json.write(Map.of("ready", ready)));
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminSource.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/ManagedNode.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** What a process tells operators of itself. Implementations are thread safe. */
-public interface AdminSource {
+public interface ManagedNode {
     /** Returns the process's state as a value that can be written as JSON. */
     CompletableFuture<Object> dump();
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/NodeMetrics.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/NodeMetrics.java
@@ -70,7 +70,7 @@
     public NodeMetrics() {}
 
     /** Adds the fill of the rings of some duties. */
-    public void watchRings(List<EventLoop<?>> duties) {
+    public void registerRingGauge(List<EventLoop<?>> duties) {
         GaugeWithCallback.builder()
                 .name("ebonyrun_ring_fill_ratio")
                 .help("Share of a duty's ring that is in use.")
@@ -86,50 +86,50 @@
     }
 
     /** Counts a call that was answered. */
-    public void answered(String className, double seconds, boolean inTime) {
+    public void recordAnsweredCall(String className, double seconds, boolean inTime) {
         mLatency.labelValues(className).observe(seconds);
         mCalls.labelValues(className, inTime ? "in-time" : "late").inc();
     }
 
     /** Counts a call that ended in a fault. */
-    public void failed(String className, String code) {
+    public void recordFailedCall(String className, String code) {
         mCalls.labelValues(className, code).inc();
     }
 
     /** Counts an attempt that is not the first. */
-    public void retried(String className) {
+    public void recordRetry(String className) {
         mRetries.labelValues(className).inc();
     }
 
     /** Takes note of the room that an endpoint reports. */
-    public void room(String endpoint, int calls, int samples) {
+    public void setFreeCapacity(String endpoint, int calls, int samples) {
         mRoom.labelValues(endpoint, "call").set(calls);
         mRoom.labelValues(endpoint, "sample").set(samples);
     }
 
     /** Forgets an endpoint that is gone. */
-    public void forgetEndpoint(String endpoint) {
+    public void removeEndpoint(String endpoint) {
         mRoom.remove(endpoint, "call");
         mRoom.remove(endpoint, "sample");
     }
 
     /** Counts a delivered sample. */
-    public void delivered(String trainer, long age) {
+    public void recordDeliveredSample(String trainer, long age) {
         mStaleness.labelValues(trainer).observe(age);
     }
 
     /** Counts the time that a pull waited. */
-    public void idle(String trainer, double seconds) {
+    public void recordTrainerIdleTime(String trainer, double seconds) {
         mIdle.labelValues(trainer).inc(seconds);
     }
 
     /** Counts a call to the key-value service. */
-    public void platformCall(String kind, boolean success) {
+    public void recordKeyValueCall(String kind, boolean success) {
         mPlatformCalls.labelValues(kind, success ? "ok" : "fault").inc();
     }
 
     /** Returns all metrics in the Prometheus text format. */
-    public byte[] text() {
+    public byte[] format() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try {
             new PrometheusTextFormatWriter(false).write(out, mRegistry.scrape());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
@@ -43,11 +43,11 @@
 import org.ebonyrun.core.weights.WeightPlanner;
 import org.ebonyrun.daemon.DaemonSettings;
 import org.ebonyrun.daemon.admin.AdminHandlers;
-import org.ebonyrun.daemon.admin.AdminSource;
+import org.ebonyrun.daemon.admin.ManagedNode;
 import org.ebonyrun.daemon.admin.NodeMetrics;
-import org.ebonyrun.daemon.link.LinkBook;
-import org.ebonyrun.daemon.link.LinkEvents;
+import org.ebonyrun.daemon.link.LinkRegistry;
 import org.ebonyrun.daemon.link.PeerLink;
+import org.ebonyrun.daemon.link.PeerListener;
 import org.ebonyrun.daemon.link.WireTypes;
 import org.ebonyrun.daemon.store.FenceStore;
 import org.ebonyrun.ports.http.AsyncHttpClient;
@@ -63,7 +63,7 @@
  * their events to the duties' rings. An I/O thread waits while a ring is full, which slows the peer
  * down.
  */
-public final class AgentNode implements AutoCloseable, AdminSource {
+public final class AgentNode implements AutoCloseable, ManagedNode {
     private static final int RING = 16_384;
     private static final int SMALL_RING = 1_024;
     private static final int HTTP_WORKERS = 2;
@@ -78,7 +78,7 @@
     private final AsyncHttpClient mCaller;
     private final EndpointAdapter mAdapter;
     private final FenceStore mFences;
-    private final LinkBook mBook;
+    private final LinkRegistry mBook;
     private final LinkTransport mTransport;
     private final AttemptMachine mAttempts;
     private final ConfigMachine mConfig;
@@ -97,7 +97,7 @@
         mSettings = settings;
         mCaller = AsyncHttpClient.start();
         URI endpoint = requireNonNull(settings.endpoint());
-        EndpointEvents events = new Events();
+        EndpointListener events = new Events();
         mAdapter =
                 settings.engine()
                         ? EngineAdapter.create(mCaller, endpoint, events)
@@ -123,7 +123,7 @@
         mSwapDuty =
                 EventLoop.start(
                         "weights", SMALL_RING, StateMachineHandler.of(mSwap), clock, TICK_NANOS);
-        mMetrics.watchRings(List.of(mAttemptDuty, mConfigDuty, mSwapDuty));
+        mMetrics.registerRingGauge(List.of(mAttemptDuty, mConfigDuty, mSwapDuty));
         ServiceName service = requireNonNull(settings.service());
         MembershipMessage.Hello hello =
                 new MembershipMessage.Hello(
@@ -133,7 +133,7 @@
                         settings.failureDomain(),
                         new SecureRandom().nextLong(),
                         settings.engine() ? endpoint.toString() : "");
-        mBook = LinkBook.create(hello, new Links());
+        mBook = LinkRegistry.create(hello, new Links());
         mTransport = LinkTransport.start("links", WireTypes.codec(), mBook);
         mLinkPort = mTransport.listen(settings.linkListen().host(), settings.linkListen().port());
         mHttp =
@@ -157,7 +157,7 @@
     public static AgentNode start(DaemonSettings settings) throws IOException {
         AgentNode node = new AgentNode(settings);
         node.mTimer.scheduleAtFixedRate(
-                node.mAdapter::readState, 0, STATE_MILLIS, TimeUnit.MILLISECONDS);
+                node.mAdapter::requestState, 0, STATE_MILLIS, TimeUnit.MILLISECONDS);
         node.mTimer.scheduleAtFixedRate(
                 node::heartbeat, HEARTBEAT_MILLIS, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
         node.learnFloor();
@@ -196,7 +196,7 @@
 
     @Override
     public byte[] metrics() {
-        return mMetrics.text();
+        return mMetrics.format();
     }
 
     /**
@@ -250,7 +250,7 @@
                     EndpointLoad load = machine.load(now);
                     if (mHeartbeats.isDue(load, now)) {
                         Message beat = new MembershipMessage.Heartbeat(mConfigVersion, load);
-                        mBook.introduced().forEach(peer -> peer.link().send(beat));
+                        mBook.introducedLinks().forEach(peer -> peer.link().send(beat));
                     }
                 });
     }
@@ -290,7 +290,7 @@
     }
 
     /** Hands what the endpoint does to the duties. Thread safe. */
-    private final class Events implements EndpointEvents {
+    private final class Events implements EndpointListener {
         @Override
         public void onPiece(AttemptId id, byte[] data, int tokens, long version) {
             mAttemptDuty.post((machine, now) -> machine.onPiece(id, data, tokens, version, now));
@@ -319,16 +319,16 @@
         }
 
         @Override
-        public void onLoaded(long version, Optional<Fault> fault) {
+        public void onLoadFinished(long version, Optional<Fault> fault) {
             mSwapDuty.post((machine, now) -> machine.onLoaded(version, fault));
-            mAdapter.readState();
+            mAdapter.requestState();
         }
     }
 
     /** Hands what entries send to the duties. Thread safe. */
-    private final class Links implements LinkEvents {
+    private final class Links implements PeerListener {
         @Override
-        public void onPeer(PeerLink peer) {
+        public void onPeerIntroduced(PeerLink peer) {
             greet(peer);
         }
 
@@ -393,7 +393,7 @@
 
         @Override
         public void load(long version, long fence, String source) {
-            mAdapter.load(version, fence, source);
+            mAdapter.loadWeights(version, fence, source);
         }
 
         @Override
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EndpointAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EndpointAdapter.java
@@ -5,7 +5,7 @@
 
 /**
  * Talks to one kind of endpoint in its own protocol. Implementations are thread safe and never
- * block; what happens comes back through {@link EndpointEvents}.
+ * block; what happens comes back through {@link EndpointListener}.
  */
 public interface EndpointAdapter {
     /** Starts a job. It is written to the endpoint at most once. */
@@ -15,8 +15,8 @@
     void stop(AttemptId id);
 
     /** Reads the endpoint's state. */
-    void readState();
+    void requestState();
 
     /** Has the endpoint load a version of the weights. */
-    void load(long version, long fence, String source);
+    void loadWeights(long version, long fence, String source);
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EndpointEvents.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EndpointListener.java
@@ -6,7 +6,7 @@
 import org.ebonyrun.base.result.FaultCode;
 
 /** Receives what an endpoint does. Called on I/O threads; must not block for long. */
-public interface EndpointEvents {
+public interface EndpointListener {
     /** Called for each piece of an answer; the version is zero when none was stated. */
     void onPiece(AttemptId id, byte[] data, int tokens, long version);
 
@@ -23,5 +23,5 @@
     void onUnreachable();
 
     /** Called once for each order. */
-    void onLoaded(long version, Optional<Fault> fault);
+    void onLoadFinished(long version, Optional<Fault> fault);
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EngineAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EngineAdapter.java
@@ -36,17 +36,17 @@
 
     private final AsyncHttpClient mCaller;
     private final URI mBase;
-    private final EndpointEvents mEvents;
-    private final Exchanges mExchanges = new Exchanges();
+    private final EndpointListener mEvents;
+    private final OpenExchanges mExchanges = new OpenExchanges();
 
-    private EngineAdapter(AsyncHttpClient caller, URI base, EndpointEvents events) {
+    private EngineAdapter(AsyncHttpClient caller, URI base, EndpointListener events) {
         mCaller = caller;
         mBase = base;
         mEvents = events;
     }
 
     /** Creates an adapter to the engine at {@code base}. */
-    public static EngineAdapter create(AsyncHttpClient caller, URI base, EndpointEvents events) {
+    public static EngineAdapter create(AsyncHttpClient caller, URI base, EndpointListener events) {
         return new EngineAdapter(caller, base, events);
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void readState() {
+    public void requestState() {
         HttpRequest call =
                 HttpRequest.of("GET", URI.create(mBase + "/state"), STATE_TIMEOUT_MILLIS)
                         .withCorrelation(Correlation.byKind("state"));
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void load(long version, long fence, String source) {
+    public void loadWeights(long version, long fence, String source) {
         ObjectNode order = Json.mapper().createObjectNode();
         order.put("version", version).put("fence", fence).put("source", source);
         URI uri = URI.create(mBase + "/orders/load");
@@ -93,7 +93,7 @@
         mCaller.request(call, "engine.load")
                 .thenAccept(
                         result ->
-                                mEvents.onLoaded(
+                                mEvents.onLoadFinished(
                                         version, result.fold(this::loadFault, Optional::of)));
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/Exchanges.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/OpenExchanges.java
@@ -6,7 +6,7 @@
 import org.ebonyrun.ports.http.HttpExchange;
 
 /** The open HTTP exchanges of an endpoint, by attempt. Thread safe. */
-final class Exchanges {
+final class OpenExchanges {
     private final Map<AttemptId, HttpExchange> mOpen = new ConcurrentHashMap<>();
 
     void add(AttemptId id, HttpExchange exchange) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/PlainAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/PlainAdapter.java
@@ -26,17 +26,17 @@
 
     private final AsyncHttpClient mCaller;
     private final URI mBase;
-    private final EndpointEvents mEvents;
-    private final Exchanges mExchanges = new Exchanges();
+    private final EndpointListener mEvents;
+    private final OpenExchanges mExchanges = new OpenExchanges();
 
-    private PlainAdapter(AsyncHttpClient caller, URI base, EndpointEvents events) {
+    private PlainAdapter(AsyncHttpClient caller, URI base, EndpointListener events) {
         mCaller = caller;
         mBase = base;
         mEvents = events;
     }
 
     /** Creates an adapter to the service at {@code base}. */
-    public static PlainAdapter create(AsyncHttpClient caller, URI base, EndpointEvents events) {
+    public static PlainAdapter create(AsyncHttpClient caller, URI base, EndpointListener events) {
         return new PlainAdapter(caller, base, events);
     }
 
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void readState() {
+    public void requestState() {
         HttpRequest call =
                 HttpRequest.of("GET", URI.create(mBase + "/"), STATE_TIMEOUT_MILLIS)
                         .withCorrelation(Correlation.byKind("state"));
@@ -79,14 +79,14 @@
     }
 
     @Override
-    public void load(long version, long fence, String source) {
+    public void loadWeights(long version, long fence, String source) {
         Fault fault =
                 Fault.notRun(
                         FaultCode.BAD_REQUEST,
                         "service.load",
                         mBase.getAuthority(),
                         "a plain service has no weights");
-        mEvents.onLoaded(version, Optional.of(fault));
+        mEvents.onLoadFinished(version, Optional.of(fault));
     }
 
     /** Reads one answer. Used by one I/O thread at a time. */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
@@ -257,7 +257,7 @@
         public void onAnswer(Work work, Answer answer) {
             long nanos = System.nanoTime() - mArrival;
             boolean inTime = nanos <= Nanos.ofMillis(mSpec.latenessMillis());
-            mContext.mMetrics.answered(
+            mContext.mMetrics.recordAnsweredCall(
                     mSpec.name().value(), (double) nanos / Nanos.PER_SECOND, inTime);
             boolean success = answer.status() / 100 == 2;
             if (work.streaming() && success) {
@@ -273,7 +273,7 @@
 
         @Override
         public void onFault(Fault fault) {
-            mContext.mMetrics.failed(mSpec.name().value(), fault.code().wireName());
+            mContext.mMetrics.recordFailedCall(mSpec.name().value(), fault.code().wireName());
             if (mClaim != null && fault.isNotRun()) {
                 mContext.mClaims.release(mClaim);
             }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
@@ -61,7 +61,7 @@
 
     private void history(long version, Responder out) {
         mContext.mConfigs
-                .history(version)
+                .readVersion(version)
                 .thenAccept(
                         result ->
                                 result.fold(
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigWatcher.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigWatcher.java
@@ -28,7 +28,7 @@
         mContext.mConfigs.read().thenAccept(this::onAnswer);
     }
 
-    private void onAnswer(Result<ConfigStore.Current> result) {
+    private void onAnswer(Result<ConfigStore.CurrentConfig> result) {
         result.fold(
                 current -> {
                     onCurrent(current);
@@ -43,7 +43,7 @@
                 });
     }
 
-    private void onCurrent(ConfigStore.Current current) {
+    private void onCurrent(ConfigStore.CurrentConfig current) {
         mRevision = Math.max(mRevision, current.revision());
         StoredConfig config = current.config();
         mContext.mConfigDuty.post(
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CountedStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CountedStore.java
@@ -55,6 +55,7 @@
     private <T> CompletableFuture<Result<T>> count(
             String kind, CompletableFuture<Result<T>> answer) {
         return answer.whenComplete(
-                (result, error) -> mMetrics.platformCall(kind, error == null && result.isOk()));
+                (result, error) ->
+                        mMetrics.recordKeyValueCall(kind, error == null && result.isOk()));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchEffects.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchEffects.java
@@ -57,7 +57,7 @@
 
     @Override
     public void retried(Work work) {
-        mContext.mMetrics.retried(work.className().value());
+        mContext.mMetrics.recordRetry(work.className().value());
     }
 
     @Override
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
@@ -30,7 +30,7 @@
 import org.ebonyrun.core.weights.WeightPlanner;
 import org.ebonyrun.daemon.DaemonSettings;
 import org.ebonyrun.daemon.admin.NodeMetrics;
-import org.ebonyrun.daemon.link.LinkBook;
+import org.ebonyrun.daemon.link.LinkRegistry;
 import org.ebonyrun.daemon.link.PeerLink;
 import org.ebonyrun.daemon.link.WireTypes;
 import org.ebonyrun.daemon.store.ClaimStore;
@@ -68,7 +68,7 @@
     final ClaimStore mClaims;
     final ConfigStore mConfigs;
     final LeaseClient mLeases;
-    final LinkBook mBook;
+    final LinkRegistry mBook;
     final LinkTransport mTransport;
     final ScheduledExecutorService mTimer;
     final StepReplies mReplies;
@@ -115,7 +115,7 @@
                             return thread;
                         });
         mReplies = new StepReplies(this);
-        mBook = LinkBook.create(hello(settings), new EntryLinks(this));
+        mBook = LinkRegistry.create(hello(settings), new EntryLinks(this));
         mTransport = LinkTransport.start("links", WireTypes.codec(), mBook);
         mLinkPort = mTransport.listen(settings.linkListen().host(), settings.linkListen().port());
         LeaseHolder self =
@@ -147,7 +147,7 @@
         mConfigDuty = duty("config", SMALL_RING, mConfig, SLOW_TICK_NANOS);
         mMembershipDuty = duty("membership", SMALL_RING, mMembership, SLOW_TICK_NANOS);
         mPlannerDuty = duty("weights", SMALL_RING, mPlanner, SLOW_TICK_NANOS);
-        mMetrics.watchRings(duties());
+        mMetrics.registerRingGauge(duties());
         duties().forEach(EventLoop::launch);
         mStarted = true;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryLinks.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryLinks.java
@@ -10,12 +10,12 @@
 import org.ebonyrun.core.rollout.RolloutMessage;
 import org.ebonyrun.core.weights.WeightMessage;
 import org.ebonyrun.daemon.DaemonSettings;
-import org.ebonyrun.daemon.link.LinkEvents;
 import org.ebonyrun.daemon.link.PeerLink;
+import org.ebonyrun.daemon.link.PeerListener;
 import org.tinylog.Logger;
 
 /** Hands what peers of an entry send to the duties. Thread safe. */
-final class EntryLinks implements LinkEvents {
+final class EntryLinks implements PeerListener {
     private final EntryContext mContext;
 
     EntryLinks(EntryContext context) {
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void onPeer(PeerLink peer) {
+    public void onPeerIntroduced(PeerLink peer) {
         if (!mContext.mStarted) {
             peer.link().close();
             return;
@@ -79,7 +79,7 @@
         Logger.info("peer={} address={} disconnected", hello.vm(), peer.link().peer());
         mContext.mMembershipDuty.post((machine, now) -> machine.onDisconnected(hello.vm(), now));
         if (isAgent(hello)) {
-            mContext.mMetrics.forgetEndpoint(hello.vm().value());
+            mContext.mMetrics.removeEndpoint(hello.vm().value());
             ServiceName service = ServiceName.of(hello.service());
             mContext.mDispatchDuty.post((machine, now) -> machine.onLinkLost(hello.vm(), now));
             mContext.mRolloutDuty.post((machine, now) -> machine.onAgentLost(hello.vm(), now));
@@ -112,7 +112,7 @@
         }
         if (load != null) {
             ServiceName service = ServiceName.of(hello.service());
-            mContext.mMetrics.room(vm.value(), load.free(), load.sampleRoom());
+            mContext.mMetrics.setFreeCapacity(vm.value(), load.free(), load.sampleRoom());
             mContext.mDispatchDuty.post((machine, now) -> machine.onHeartbeat(vm, load, now));
             mContext.mPlannerDuty.post(
                     (machine, now) -> machine.onVersion(vm, service, load.version(), true));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
@@ -11,7 +11,7 @@
 import org.ebonyrun.core.routing.TargetMonitor;
 import org.ebonyrun.daemon.DaemonSettings;
 import org.ebonyrun.daemon.admin.AdminHandlers;
-import org.ebonyrun.daemon.admin.AdminSource;
+import org.ebonyrun.daemon.admin.ManagedNode;
 import org.ebonyrun.daemon.store.Json;
 import org.ebonyrun.ports.http.HttpServerSettings;
 import org.ebonyrun.ports.http.HttpServers;
@@ -20,7 +20,7 @@
 import org.glassfish.grizzly.http.server.HttpServer;
 
 /** One entry: callers', trainers' and operators' way in. Thread safe. */
-public final class EntryNode implements AutoCloseable, AdminSource {
+public final class EntryNode implements AutoCloseable, ManagedNode {
     private static final int HTTP_WORKERS = 4;
 
     private final EntryContext mContext;
@@ -32,11 +32,11 @@
         StepApi steps = new StepApi(mContext);
         ConfigApi config = new ConfigApi(mContext);
         Map<String, HttpHandler> handlers = AdminHandlers.of(this);
-        handlers.put("/admin/status", AdminHandlers.handler((request, out) -> status(out)));
-        handlers.put(CallApi.PREFIX + "*", AdminHandlers.handler(calls::handle));
-        handlers.put(StepApi.PREFIX + "*", AdminHandlers.handler(steps::handle));
-        handlers.put(ConfigApi.PREFIX, AdminHandlers.handler(config::handle));
-        handlers.put(ConfigApi.PREFIX + "/*", AdminHandlers.handler(config::handle));
+        handlers.put("/admin/status", AdminHandlers.asyncHandler((request, out) -> status(out)));
+        handlers.put(CallApi.PREFIX + "*", AdminHandlers.asyncHandler(calls::handle));
+        handlers.put(StepApi.PREFIX + "*", AdminHandlers.asyncHandler(steps::handle));
+        handlers.put(ConfigApi.PREFIX, AdminHandlers.asyncHandler(config::handle));
+        handlers.put(ConfigApi.PREFIX + "/*", AdminHandlers.asyncHandler(config::handle));
         mHttp =
                 HttpServers.start(
                         new HttpServerSettings(
@@ -138,7 +138,7 @@
 
     @Override
     public byte[] metrics() {
-        return mContext.mMetrics.text();
+        return mContext.mMetrics.format();
     }
 
     /**
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutEffects.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutEffects.java
@@ -157,12 +157,12 @@
 
     @Override
     public void idle(TrainerId trainer, long nanos) {
-        mContext.mMetrics.idle(trainer.value(), (double) nanos / Nanos.PER_SECOND);
+        mContext.mMetrics.recordTrainerIdleTime(trainer.value(), (double) nanos / Nanos.PER_SECOND);
     }
 
     @Override
     public void delivered(TrainerId trainer, long age) {
-        mContext.mMetrics.delivered(trainer.value(), age);
+        mContext.mMetrics.recordDeliveredSample(trainer.value(), age);
     }
 
     @Override
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
@@ -139,11 +139,11 @@
     }
 
     private static InetSocketAddress address(SettingsNode node) {
-        DaemonSettings.Listen listen =
+        DaemonSettings.ListenAddress listen =
                 needed(
                         node,
-                        DaemonSettings.Listen::parse,
-                        new DaemonSettings.Listen("127.0.0.1", 0));
+                        DaemonSettings.ListenAddress::parse,
+                        new DaemonSettings.ListenAddress("127.0.0.1", 0));
         return new InetSocketAddress(listen.host(), listen.port());
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/LinkBook.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/LinkRegistry.java
@@ -17,21 +17,21 @@
  *
  * <p>Thread safe. A message that comes before the peer's introduction closes the link.
  */
-public final class LinkBook implements LinkListener {
+public final class LinkRegistry implements LinkListener {
     private final MembershipMessage.Hello mSelf;
-    private final LinkEvents mEvents;
+    private final PeerListener mEvents;
     private final AtomicLong mNumbers = new AtomicLong();
     private final Map<Link, PeerLink> mByLink = new ConcurrentHashMap<>();
     private final Map<Long, PeerLink> mByNumber = new ConcurrentHashMap<>();
 
-    private LinkBook(MembershipMessage.Hello self, LinkEvents events) {
+    private LinkRegistry(MembershipMessage.Hello self, PeerListener events) {
         mSelf = self;
         mEvents = events;
     }
 
     /** Creates a book without links. */
-    public static LinkBook create(MembershipMessage.Hello self, LinkEvents events) {
-        return new LinkBook(self, events);
+    public static LinkRegistry create(MembershipMessage.Hello self, PeerListener events) {
+        return new LinkRegistry(self, events);
     }
 
     @Override
@@ -50,8 +50,8 @@
         }
         if (message instanceof MembershipMessage.Hello hello) {
             if (peer.hello() == null) {
-                peer.introduce(hello);
-                mEvents.onPeer(peer);
+                peer.setHello(hello);
+                mEvents.onPeerIntroduced(peer);
             }
         } else if (peer.hello() == null) {
             Logger.warn("peer={} sent {} before hello", link.peer(), message.getClass());
@@ -80,12 +80,12 @@
     }
 
     /** Returns the link with a number, or null if it is closed. */
-    public @Nullable PeerLink byNumber(long number) {
+    public @Nullable PeerLink findByNumber(long number) {
         return mByNumber.get(number);
     }
 
     /** Returns all introduced links. */
-    public Collection<PeerLink> introduced() {
+    public Collection<PeerLink> introducedLinks() {
         return mByNumber.values().stream().filter(peer -> peer.hello() != null).toList();
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/PeerLink.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/PeerLink.java
@@ -34,7 +34,7 @@
         return mHello;
     }
 
-    void introduce(MembershipMessage.Hello hello) {
+    void setHello(MembershipMessage.Hello hello) {
         mHello = hello;
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ConfigStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ConfigStore.java
@@ -41,15 +41,15 @@
      * @param config the configuration
      * @param revision the revision; {@link KeyValueStore#ABSENT} before the first
      */
-    public record Current(StoredConfig config, long revision) {}
+    public record CurrentConfig(StoredConfig config, long revision) {}
 
     /** Reads the configuration. */
-    public CompletableFuture<Result<Current>> read() {
+    public CompletableFuture<Result<CurrentConfig>> read() {
         return mStore.get(KEY).thenApply(result -> result.map(ConfigStore::current));
     }
 
     /** Waits for a configuration after the given revision. */
-    public CompletableFuture<Result<Current>> watch(long afterRevision, long waitMillis) {
+    public CompletableFuture<Result<CurrentConfig>> watch(long afterRevision, long waitMillis) {
         return mStore.watch(KEY, afterRevision, waitMillis)
                 .thenApply(result -> result.map(ConfigStore::current));
     }
@@ -77,7 +77,7 @@
     }
 
     /** Reads an earlier version. */
-    public CompletableFuture<Result<Optional<StoredConfig>>> history(long version) {
+    public CompletableFuture<Result<Optional<StoredConfig>>> readVersion(long version) {
         return mStore.get(HISTORY + version)
                 .thenApply(
                         result ->
@@ -91,7 +91,7 @@
     }
 
     private CompletableFuture<Result<StoredConfig>> replace(
-            Current current, long expectedVersion, String author, String text, String nonce) {
+            CurrentConfig current, long expectedVersion, String author, String text, String nonce) {
         if (current.config().nonces().contains(nonce)) {
             return done(Result.ok(current.config()));
         }
@@ -137,13 +137,13 @@
                 FaultCode.PLATFORM_UNAVAILABLE, STEP, fault.peer(), "not read: " + fault.detail());
     }
 
-    private static Current current(Optional<KeyValueEntry> entry) {
+    private static CurrentConfig current(Optional<KeyValueEntry> entry) {
         return entry.map(
                         found ->
-                                new Current(
+                                new CurrentConfig(
                                         Json.read(found.value(), StoredConfig.class),
                                         found.revision()))
-                .orElseGet(() -> new Current(StoredConfig.none(), KeyValueStore.ABSENT));
+                .orElseGet(() -> new CurrentConfig(StoredConfig.none(), KeyValueStore.ABSENT));
     }
 
     private static <T> CompletableFuture<T> done(T value) {
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/agent/PlainAdapterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/agent/PlainAdapterTest.java
@@ -79,7 +79,7 @@
     }
 
     /** Collects answers. Thread safe. */
-    private static final class Answers implements EndpointEvents {
+    private static final class Answers implements EndpointListener {
         private final Map<AttemptId, StringBuffer> mPieces = new ConcurrentHashMap<>();
         private final Map<AttemptId, CompletableFuture<String>> mEnds = new ConcurrentHashMap<>();
 
@@ -113,6 +113,6 @@
         public void onUnreachable() {}
 
         @Override
-        public void onLoaded(long version, Optional<Fault> fault) {}
+        public void onLoadFinished(long version, Optional<Fault> fault) {}
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
@@ -27,7 +27,7 @@
 import org.ebonyrun.core.weights.SwapOutputs;
 import org.ebonyrun.core.weights.WeightMessage;
 import org.ebonyrun.core.weights.WeightPlanner;
-import org.ebonyrun.daemon.agent.EndpointEvents;
+import org.ebonyrun.daemon.agent.EndpointListener;
 import org.ebonyrun.daemon.store.FenceStore;
 import org.jspecify.annotations.Nullable;
 
@@ -203,7 +203,7 @@
     }
 
     /** Hands what the endpoint does to the machines, unless the agent has died since. */
-    private final class Events implements EndpointEvents {
+    private final class Events implements EndpointListener {
         @Override
         public void onPiece(AttemptId id, byte[] data, int tokens, long version) {
             run(() -> mAttempts.onPiece(id, data, tokens, version, now()));
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public void onLoaded(long version, Optional<Fault> fault) {
+        public void onLoadFinished(long version, Optional<Fault> fault) {
             run(
                     () -> {
                         mSwap.onLoaded(version, fault);
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEngine.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEngine.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.base.result.FaultCode;
 import org.ebonyrun.base.time.Nanos;
-import org.ebonyrun.daemon.agent.EndpointEvents;
+import org.ebonyrun.daemon.agent.EndpointListener;
 
 /**
  * An endpoint in virtual time: continuous batching, a prefix cache of limited size, weight swaps
@@ -28,7 +28,7 @@
     private final Map<AttemptId, VirtualRun> mOpen = new LinkedHashMap<>();
     private final Map<String, Boolean> mCache;
     private EngineModel mModel;
-    private EndpointEvents mEvents;
+    private EndpointListener mEvents;
     private long mVersion;
     private long mHighestFence;
     private long mFencedOrders;
@@ -54,7 +54,7 @@
                 };
     }
 
-    void connect(EndpointEvents events) {
+    void connect(EndpointListener events) {
         mEvents = events;
     }
 
@@ -182,7 +182,7 @@
                         : Optional.of(
                                 Fault.failed(
                                         FaultCode.ENDPOINT_ERROR, "engine.load", mName, error));
-        mEvents.onLoaded(version, fault);
+        mEvents.onLoadFinished(version, fault);
     }
 
     private void begin(AttemptId id, VirtualRequest request) {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
@@ -354,7 +354,7 @@
         whenDone(mConfigs.read(), this::onConfig);
     }
 
-    private void onConfig(Result<ConfigStore.Current> result) {
+    private void onConfig(Result<ConfigStore.CurrentConfig> result) {
         boolean ok =
                 result.fold(
                         current -> {
