--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/Command.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/Command.java
@@ -1,16 +1,16 @@
 package org.ebonyrun.base.eventloop;
 
 /**
- * One event for a state machine: a call of one of its methods at the time of handling.
+ * An event for a state machine: a deferred call of one of its methods.
  *
  * @param <S> the type of the state machine
  */
 @FunctionalInterface
 public interface Command<S> {
     /**
-     * Applies the event.
+     * Calls the state machine.
      *
-     * @param now the monotonic time in nanoseconds
+     * @param now the monotonic time of the call, in nanoseconds
      */
     void apply(S machine, long now);
 }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/EventHandler.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/EventHandler.java
@@ -1,8 +1,8 @@
 package org.ebonyrun.base.eventloop;
 
 /**
- * Handles the events of one duty. All methods are called on the duty's own thread, so an
- * implementation needs no locks for state that only it touches.
+ * Handles the events of one event loop. All methods are called on the event loop's thread, so an
+ * implementation needs no locks for state that is used on this thread only.
  *
  * @param <E> the type of event
  */
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/EventLoop.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/EventLoop.java
@@ -12,21 +12,21 @@
 import org.tinylog.Logger;
 
 /**
- * A thread with one duty, fed by a bounded ring.
+ * A thread that handles events from a bounded ring.
  *
- * <p>Events are handled in the order in which each producer offered them. A full ring refuses the
- * event; the producer decides what that means and never drops it silently.
+ * <p>The events of each producer are handled in the order in which it offered them. A full ring
+ * refuses the event; the producer has to handle the refusal and must not drop the event silently.
  *
- * <p>Thread safe. The ring has many producers and one consumer, the duty's own thread. The consumer
- * publishes {@code mParked} before it looks at the ring for the last time, and producers look at
- * {@code mParked} after they have offered, so a wake-up is never lost.
+ * <p>Thread safe. The ring has many producers and one consumer, the event loop's thread. The
+ * consumer sets {@code mParked} before it checks the ring for the last time, and producers check
+ * {@code mParked} after they have offered an event, so no wake-up is lost.
  *
  * @param <E> the type of event
  */
 public final class EventLoop<E> implements AutoCloseable {
-    private static final long STUCK_SECONDS = 10;
-    private static final long FULL_PARK_NANOS = Nanos.ofMillis(1);
-    private static final int EXIT_STUCK = 70;
+    private static final long MAX_FULL_SECONDS = 10;
+    private static final long FULL_RING_PARK_NANOS = Nanos.ofMillis(1);
+    private static final int EXIT_RING_FULL = 70;
 
     private final String mName;
     private final MpscArrayQueue<Object> mRing;
@@ -56,9 +56,9 @@
     }
 
     /**
-     * Creates and starts a duty.
+     * Creates and starts an event loop.
      *
-     * @param capacity the least number of events that the ring holds
+     * @param capacity the minimum capacity of the ring, in events
      * @param tickNanos the period of {@link EventHandler#onTick}, in nanoseconds
      */
     public static <E> EventLoop<E> start(
@@ -67,15 +67,15 @@
             EventHandler<E> handler,
             MonotonicClock clock,
             long tickNanos) {
-        EventLoop<E> duty = create(name, capacity, handler, clock, tickNanos);
-        duty.launch();
-        return duty;
+        EventLoop<E> eventLoop = create(name, capacity, handler, clock, tickNanos);
+        eventLoop.launch();
+        return eventLoop;
     }
 
     /**
-     * Creates a duty whose thread does not run yet, for duties that refer to each other.
+     * Creates an event loop without starting its thread, for event loops that refer to each other.
      *
-     * @param capacity the least number of events that the ring holds
+     * @param capacity the minimum capacity of the ring, in events
      * @param tickNanos the period of {@link EventHandler#onTick}, in nanoseconds
      */
     public static <E> EventLoop<E> create(
@@ -90,79 +90,86 @@
     /**
      * Starts the thread.
      *
-     * @throws IllegalThreadStateException if it was started before
+     * @throws IllegalThreadStateException if the thread was already started
      */
     public void launch() {
         mThread.start();
     }
 
-    /** Returns the name of the duty. */
+    /** Returns the name of the event loop and its thread. */
     public String name() {
         return mName;
     }
 
-    /** Offers an event; returns whether the ring had room for it. */
+    /** Offers an event; returns false, without enqueuing the event, if the ring is full. */
     public boolean offer(E event) {
         return enqueue(event);
     }
 
     /**
-     * Offers an event that must not be lost, and waits while the ring is full, which slows the
-     * producer down. A ring that stays full for {@value #STUCK_SECONDS} seconds ends the process: a
-     * restart is a case that every peer handles, a lost event is not.
+     * Enqueues an event that must not be lost. Blocks while the ring is full, which applies
+     * backpressure to the producer. Halts the process if the ring stays full for {@value
+     * #MAX_FULL_SECONDS} seconds, because every peer handles a restart of the process, but not the
+     * loss of an event. Returns without enqueuing the event if the ring is full and the event loop
+     * is closed.
      */
     public void post(E event) {
-        long deadline = System.nanoTime() + STUCK_SECONDS * Nanos.PER_SECOND;
+        long deadline = System.nanoTime() + MAX_FULL_SECONDS * Nanos.PER_SECOND;
         while (!enqueue(event) && !mClosed) {
             if (System.nanoTime() - deadline >= 0) {
-                Logger.error("duty={} ring full for {} s, ending", mName, STUCK_SECONDS);
-                Runtime.getRuntime().halt(EXIT_STUCK);
+                Logger.error(
+                        "event loop {}: ring full for {} s; halting the process",
+                        mName,
+                        MAX_FULL_SECONDS);
+                Runtime.getRuntime().halt(EXIT_RING_FULL);
             }
-            LockSupport.parkNanos(FULL_PARK_NANOS);
+            LockSupport.parkNanos(FULL_RING_PARK_NANOS);
         }
     }
 
-    /** Returns the number of events that wait. */
+    /** Returns the number of queued events. */
     public int depth() {
         return mRing.size();
     }
 
-    /** Returns the number of events that the ring holds at most. */
+    /** Returns the capacity of the ring, in events. */
     public int capacity() {
         return mRing.capacity();
     }
 
-    /** Returns how many events were refused because the ring was full. */
+    /** Returns the number of offers that were refused because the ring was full. */
     public long refused() {
         return mRefused.get();
     }
 
     /**
-     * Evaluates {@code query} on the duty's thread, between events.
+     * Evaluates {@code query} on the event loop's thread, between events.
      *
-     * @return the value, or an exceptional completion when the ring is full or the query throws
+     * @return a future with the value; it completes exceptionally if the ring is full or the query
+     *     throws
      */
     public <T> CompletableFuture<T> query(Supplier<T> query) {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        Runnable task = () -> complete(answer, query);
+        CompletableFuture<T> result = new CompletableFuture<>();
+        Runnable task = () -> complete(result, query);
         if (!enqueue(task)) {
-            answer.completeExceptionally(new IllegalStateException("ring full: " + mName));
+            result.completeExceptionally(
+                    new IllegalStateException("ring full in event loop " + mName));
         }
-        return answer;
+        return result;
     }
 
-    /** Stops the thread after the event that it handles now. Waiting events are not handled. */
+    /** Stops the thread after the current event. Queued events are not handled. */
     @Override
     public void close() {
         mClosed = true;
         LockSupport.unpark(mThread);
     }
 
-    private static <T> void complete(CompletableFuture<T> answer, Supplier<T> query) {
+    private static <T> void complete(CompletableFuture<T> result, Supplier<T> query) {
         try {
-            answer.complete(query.get());
+            result.complete(query.get());
         } catch (RuntimeException e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
         }
     }
 
@@ -212,7 +219,11 @@
                 mHandler.onEvent((E) event, mClock.nanoTime());
             }
         } catch (RuntimeException e) {
-            Logger.error(e, "duty={} event={} failed", mName, event.getClass().getSimpleName());
+            Logger.error(
+                    e,
+                    "event loop {}: cannot handle event of type {}",
+                    mName,
+                    event.getClass().getSimpleName());
         }
     }
 
@@ -220,7 +231,7 @@
         try {
             mHandler.onTick(now);
         } catch (RuntimeException e) {
-            Logger.error(e, "duty={} tick failed", mName);
+            Logger.error(e, "event loop {}: tick failed", mName);
         }
     }
 }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/StateMachineHandler.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/StateMachineHandler.java
@@ -1,9 +1,9 @@
 package org.ebonyrun.base.eventloop;
 
 /**
- * Runs a state machine on a duty: applies its commands and passes its ticks on.
+ * Runs a state machine on an event loop: applies commands to it and forwards ticks.
  *
- * <p>Confined to the duty's thread.
+ * <p>Not thread safe; confined to the event loop's thread.
  *
  * @param <S> the type of the state machine
  */
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/Ticking.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/Ticking.java
@@ -1,6 +1,6 @@
 package org.ebonyrun.base.eventloop;
 
-/** A state machine that does periodic work. */
+/** A state machine that does periodic work on the ticks of its event loop. */
 @FunctionalInterface
 public interface Ticking {
     /**
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/package-info.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/eventloop/package-info.java
@@ -1,4 +1,4 @@
-/** Threads with one duty each, fed by bounded rings. */
+/** Event loops: threads that handle events from bounded rings. */
 @NullMarked
 package org.ebonyrun.base.eventloop;
 
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/id/ClassName.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/id/ClassName.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a class of work, for which operators state targets.
+ * Names a class of work, for which operators configure targets.
  *
  * <p>Immutable and thread safe.
  *
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/id/FailureDomain.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/id/FailureDomain.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a set of VMs that can be lost together.
+ * Names a set of VMs that can fail together.
  *
  * <p>Immutable and thread safe.
  *
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/id/Names.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/id/Names.java
@@ -4,7 +4,7 @@
 
 import java.util.regex.Pattern;
 
-/** Checks the textual form of names. Stateless and thread safe. */
+/** Checks the syntax of names. Stateless and thread safe. */
 final class Names {
     private static final Pattern NAME = Pattern.compile("[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}");
 
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/id/ServiceName.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/id/ServiceName.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a group of endpoints that answer the same requests.
+ * Names a group of endpoints that serve the same requests.
  *
  * <p>Immutable and thread safe.
  *
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/id/TrainerId.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/id/TrainerId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names a trainer, which pulls the samples of its own steps.
+ * Names a trainer, which submits steps and pulls their samples.
  *
  * <p>Immutable and thread safe.
  *
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/id/VmId.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/id/VmId.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Names one VM, and so the process of the system and the endpoint on it.
+ * Names a VM, and with it the process of this system and the endpoint that run on the VM.
  *
  * <p>Immutable and thread safe.
  *
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/id/package-info.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/id/package-info.java
@@ -1,4 +1,4 @@
-/** Identifiers of processes, attempts, samples and operators' names. */
+/** Identifiers of processes, attempts and samples, and the names that operators assign. */
 @NullMarked
 package org.ebonyrun.base.id;
 
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/json/JsonTrees.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/json/JsonTrees.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 
 /**
- * Reads and writes JSON trees by Jackson's streams alone.
+ * Reads and writes JSON trees with Jackson's streaming API.
  *
- * <p>Stateless and thread safe. An object mapper would do the same, but what it loads and prepares
- * takes a restarted process a large part of the time until it is ready.
+ * <p>Stateless and thread safe. An {@code ObjectMapper} is not used because its initialization
+ * takes a large part of the time that a restarted process needs until it is ready.
  */
 public final class JsonTrees {
     private static final JsonFactory FACTORY = new JsonFactory();
@@ -25,15 +25,15 @@
 
     private JsonTrees() {}
 
-    /** Returns a new object. */
+    /** Returns a new, empty JSON object. */
     public static ObjectNode object() {
         return NODES.objectNode();
     }
 
     /**
-     * Reads one value.
+     * Parses UTF-8 text that consists of one JSON value.
      *
-     * @throws IllegalArgumentException if the text is not one JSON value
+     * @throws IllegalArgumentException if the text is not exactly one JSON value
      */
     public static JsonNode read(byte[] text) {
         try (JsonParser parser = FACTORY.createParser(text)) {
@@ -41,7 +41,7 @@
             if (first == null) {
                 throw new IllegalArgumentException("not JSON: the text is empty");
             }
-            JsonNode value = value(parser, first);
+            JsonNode value = readValue(parser, first);
             if (parser.nextToken() != null) {
                 throw new IllegalArgumentException("not JSON: text follows the value");
             }
@@ -51,12 +51,12 @@
         }
     }
 
-    private static JsonNode value(JsonParser parser, JsonToken token) throws IOException {
+    private static JsonNode readValue(JsonParser parser, JsonToken token) throws IOException {
         return switch (token) {
-            case START_OBJECT -> object(parser);
-            case START_ARRAY -> array(parser);
+            case START_OBJECT -> readObject(parser);
+            case START_ARRAY -> readArray(parser);
             case VALUE_STRING -> NODES.textNode(parser.getText());
-            case VALUE_NUMBER_INT -> integer(parser);
+            case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
@@ -65,7 +65,7 @@
         };
     }
 
-    private static JsonNode integer(JsonParser parser) throws IOException {
+    private static JsonNode readInteger(JsonParser parser) throws IOException {
         return switch (parser.getNumberType()) {
             case INT -> NODES.numberNode(parser.getIntValue());
             case LONG -> NODES.numberNode(parser.getLongValue());
@@ -73,32 +73,33 @@
         };
     }
 
-    private static ObjectNode object(JsonParser parser) throws IOException {
+    private static ObjectNode readObject(JsonParser parser) throws IOException {
         ObjectNode object = NODES.objectNode();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
-            object.set(name, value(parser, parser.nextToken()));
+            object.set(name, readValue(parser, parser.nextToken()));
         }
         return object;
     }
 
-    private static ArrayNode array(JsonParser parser) throws IOException {
+    private static ArrayNode readArray(JsonParser parser) throws IOException {
         ArrayNode array = NODES.arrayNode();
         for (JsonToken token = parser.nextToken();
                 token != JsonToken.END_ARRAY;
                 token = parser.nextToken()) {
-            array.add(value(parser, token));
+            array.add(readValue(parser, token));
         }
         return array;
     }
 
-    /** Returns the UTF-8 text of a tree. */
+    /** Returns a tree as UTF-8 JSON text. */
     public static byte[] write(JsonNode tree) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             write(tree, generator);
         } catch (IOException e) {
-            throw new IllegalArgumentException("tree of " + tree.getNodeType(), e);
+            throw new IllegalArgumentException(
+                    "cannot write a JSON tree of type " + tree.getNodeType(), e);
         }
         return out.toByteArray();
     }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/json/package-info.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/json/package-info.java
@@ -1,4 +1,4 @@
-/** Reading and writing of JSON trees. */
+/** Reads and writes JSON trees. */
 @NullMarked
 package org.ebonyrun.base.json;
 
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/log/EventLog.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/log/EventLog.java
@@ -9,17 +9,17 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Writes log lines from a bounded ring on a thread of its own.
+ * Writes log lines to a stream on a dedicated thread, which takes them from a bounded ring.
  *
- * <p>Thread safe and never blocking: a line that finds the ring full is counted, and the count is
- * written with the next lines.
+ * <p>Thread safe; callers never block. A line that does not fit into the ring is dropped and
+ * counted, and a later {@code log.dropped} line reports the count.
  */
 public final class EventLog implements AutoCloseable {
-    private static final int RING = 8_192;
-    private static final long WRITE_NANOS = Nanos.ofMillis(250);
-    private static final int BUFFER_CHARS = 16 * 1024;
+    private static final int RING_CAPACITY = 8_192;
+    private static final long FLUSH_INTERVAL_NANOS = Nanos.ofMillis(250);
+    private static final int MAX_BATCH_CHARS = 16 * 1024;
 
-    private final MpscArrayQueue<String> mRing = new MpscArrayQueue<>(RING);
+    private final MpscArrayQueue<String> mRing = new MpscArrayQueue<>(RING_CAPACITY);
     private final AtomicLong mDropped = new AtomicLong();
     private final PrintStream mOut;
     private final Thread mThread;
@@ -31,45 +31,45 @@
         mThread.setDaemon(true);
     }
 
-    /** Starts a log that writes to a stream. */
+    /** Starts a log that writes to the given stream. */
     public static EventLog start(OutputStream out) {
         EventLog log = new EventLog(out);
         log.mThread.start();
         return log;
     }
 
-    /** Writes a line, or counts it as dropped. */
+    /** Enqueues a line; drops and counts it if the ring is full. */
     public void write(LogLine line) {
         if (!mRing.offer(line.text())) {
             mDropped.incrementAndGet();
         }
     }
 
-    /** Returns how many lines were dropped since the start. */
+    /** Returns the number of lines dropped since the start. */
     public long dropped() {
         return mDropped.get();
     }
 
-    /** Writes what is waiting and stops. */
+    /** Writes the queued lines and stops the thread; waits at most one flush interval for it. */
     @Override
     public void close() {
         mClosed = true;
         LockSupport.unpark(mThread);
         try {
-            mThread.join(Nanos.toMillis(WRITE_NANOS));
+            mThread.join(Nanos.toMillis(FLUSH_INTERVAL_NANOS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     private void run() {
-        long reported = 0;
+        long reportedDrops = 0;
         while (!mClosed) {
-            LockSupport.parkNanos(WRITE_NANOS);
+            LockSupport.parkNanos(FLUSH_INTERVAL_NANOS);
             long dropped = mDropped.get();
-            if (dropped > reported) {
+            if (dropped > reportedDrops) {
                 mRing.offer(LogLine.of("log.dropped").with("lines", dropped).text());
-                reported = dropped;
+                reportedDrops = dropped;
             }
             flush();
         }
@@ -80,7 +80,7 @@
         StringBuilder batch = new StringBuilder();
         for (String line = mRing.poll(); line != null; line = mRing.poll()) {
             batch.append(line);
-            if (batch.length() > BUFFER_CHARS) {
+            if (batch.length() > MAX_BATCH_CHARS) {
                 mOut.print(batch);
                 batch.setLength(0);
             }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/log/LogLine.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/log/LogLine.java
@@ -1,12 +1,12 @@
 package org.ebonyrun.base.log;
 
 /**
- * One line of a log, built field by field.
+ * Builds one log line: a JSON object with the time, the event's name and the added fields.
  *
- * <p>Not thread safe; used by the thread that creates it.
+ * <p>Not thread safe.
  */
 public final class LogLine {
-    private static final int FIRST_CONTROL_FREE = 0x20;
+    private static final int FIRST_NON_CONTROL_CHAR = 0x20;
 
     private final StringBuilder mText = new StringBuilder(160);
 
@@ -15,49 +15,49 @@
         with("event", event);
     }
 
-    /** Begins a line about an event, for example {@code call.refused}. */
+    /** Starts a line for an event, for example {@code call.refused}. */
     public static LogLine of(String event) {
         return new LogLine(event);
     }
 
-    /** Adds a text. */
+    /** Adds a string field; control characters in the value become blanks. */
     public LogLine with(String name, String value) {
         mText.append(",\"").append(name).append("\":\"");
         for (int i = 0; i < value.length(); i++) {
-            append(value.charAt(i));
+            appendEscaped(value.charAt(i));
         }
         mText.append('"');
         return this;
     }
 
-    /** Adds a number. */
+    /** Adds a number field. */
     public LogLine with(String name, long value) {
         mText.append(",\"").append(name).append("\":").append(value);
         return this;
     }
 
-    /** Adds a truth value. */
+    /** Adds a boolean field. */
     public LogLine with(String name, boolean value) {
         mText.append(",\"").append(name).append("\":").append(value);
         return this;
     }
 
-    /** Adds any other value by its text. */
+    /** Adds a string field with the value's string form. */
     public LogLine with(String name, Object value) {
         return with(name, String.valueOf(value));
     }
 
-    private void append(char c) {
+    private void appendEscaped(char c) {
         if (c == '"' || c == '\\') {
             mText.append('\\').append(c);
-        } else if (c < FIRST_CONTROL_FREE) {
+        } else if (c < FIRST_NON_CONTROL_CHAR) {
             mText.append(' ');
         } else {
             mText.append(c);
         }
     }
 
-    /** Returns the line with its line feed. */
+    /** Completes the JSON object and returns it with a line feed. Must be called only once. */
     String text() {
         return mText.append("}\n").toString();
     }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/log/package-info.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/log/package-info.java
@@ -1,4 +1,4 @@
-/** Structured log lines: one JSON object a line, bounded, never blocking. */
+/** Structured logging: one JSON object per line, through a bounded queue, without blocking. */
 @NullMarked
 package org.ebonyrun.base.log;
 
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/result/Fault.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/result/Fault.java
@@ -3,16 +3,17 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * A typed failure: its code, what is known of the work, and where it arose.
+ * A typed failure: its code, what is known about the work, and where it occurred.
  *
  * <p>Immutable and thread safe.
  *
  * @param code the stable error code
  * @param outcome whether the work ran
- * @param step the step of the path at which the fault arose, for example {@code endpoint.connect}
- * @param peer the peer at which the fault arose; empty when it arose in this process
- * @param detail a message for people
- * @param retryAfterMillis when to come back, in milliseconds; zero when a retry is of no use
+ * @param step the step of the request path at which the fault occurred, for example {@code
+ *     endpoint.connect}
+ * @param peer the peer at which the fault occurred; empty if it occurred in this process
+ * @param detail a human-readable message
+ * @param retryAfterMillis the delay before a retry, in milliseconds; zero if a retry is useless
  */
 public record Fault(
         FaultCode code,
@@ -31,22 +32,22 @@
         requireNonNull(detail);
     }
 
-    /** Creates a fault of work that did not run and should not be repeated unchanged. */
+    /** Creates a fault of work that did not run and should not be retried unchanged. */
     public static Fault notRun(FaultCode code, String step, String peer, String detail) {
         return new Fault(code, Outcome.NOT_RUN, step, peer, detail, 0);
     }
 
-    /** Creates a fault of work whose execution is unknown. */
+    /** Creates a fault of work that may or may not have run. */
     public static Fault unknown(FaultCode code, String step, String peer, String detail) {
         return new Fault(code, Outcome.UNKNOWN, step, peer, detail, 0);
     }
 
-    /** Creates a fault of work that ended in a known error. */
+    /** Creates a fault of work that ended with a known error. */
     public static Fault failed(FaultCode code, String step, String peer, String detail) {
         return new Fault(code, Outcome.FAILED, step, peer, detail, 0);
     }
 
-    /** Returns a copy that asks the caller to come back after {@code millis} milliseconds. */
+    /** Returns a copy that asks the caller to retry after {@code millis} milliseconds. */
     public Fault withRetryAfterMillis(long millis) {
         return new Fault(code, outcome, step, peer, detail, millis);
     }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/result/FaultCode.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/result/FaultCode.java
@@ -6,14 +6,14 @@
 /**
  * Stable error codes of the service, shared by the wire protocol and the HTTP interface.
  *
- * <p>Immutable and thread safe. A code, once released, keeps its meaning.
+ * <p>Immutable and thread safe. The meaning of a released code never changes.
  */
 public enum FaultCode {
     /** The request is malformed. */
     BAD_REQUEST(400),
     /** The request names a class, service, trainer or step that does not exist. */
     NOT_FOUND(404),
-    /** Another writer was first, or the request contradicts an earlier one. */
+    /** Another writer came first, or the request conflicts with an earlier one. */
     CONFLICT(409),
     /** The key of a non-idempotent request was claimed by an earlier request. */
     ALREADY_CLAIMED(409),
@@ -23,11 +23,11 @@
     UNSUPPORTED_TYPE(415),
     /** Accepting the work would miss its target or another class's target. */
     OVERLOADED(503),
-    /** No endpoint is able to take the work. */
+    /** No endpoint can accept the work. */
     NO_ENDPOINT(503),
     /** The process or endpoint is shutting down. */
     DRAINING(503),
-    /** The key-value service did not answer. */
+    /** The key-value service did not respond. */
     PLATFORM_UNAVAILABLE(503),
     /** The owner of the step could not be reached. */
     OWNER_UNAVAILABLE(503),
@@ -37,13 +37,13 @@
     PEER_LOST(502),
     /** The endpoint reported an error. */
     ENDPOINT_ERROR(502),
-    /** The answer ended before its end mark or with the wrong count. */
+    /** The response ended before its end marker or with a wrong number of pieces. */
     TRUNCATED(502),
-    /** The order carries a fence lower than the floor. */
+    /** The order's fence is below the fence floor, the lowest fence that is accepted. */
     FENCED(409),
     /** The endpoint's weights are older than the work needs. */
     STALE_WEIGHTS(503),
-    /** The caller gave the work up. */
+    /** The caller cancelled the work. */
     CANCELLED(499),
     /** An unexpected error inside the service. */
     INTERNAL(500);
@@ -54,7 +54,7 @@
         mHttpStatus = httpStatus;
     }
 
-    /** Returns the HTTP status that carries this code. */
+    /** Returns the HTTP status of responses with this code. */
     public int httpStatus() {
         return mHttpStatus;
     }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/result/Outcome.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/result/Outcome.java
@@ -8,11 +8,11 @@
  * <p>Immutable and thread safe.
  */
 public enum Outcome {
-    /** The work was never handed to an endpoint; it is safe to send it again. */
+    /** The work was never passed to an endpoint; it is safe to send it again. */
     NOT_RUN("not-run"),
-    /** The work may have run, in part or whole. */
+    /** The work may have run, partly or completely. */
     UNKNOWN("unknown"),
-    /** The work ran, or was tried, and ended in an error that is known. */
+    /** The work was attempted and ended with a known error. */
     FAILED("failed");
 
     private final String mWireName;
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/result/Result.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/result/Result.java
@@ -47,7 +47,7 @@
         return new Err<>(fault);
     }
 
-    /** Returns what the function for the present case makes of it. */
+    /** Applies {@code onOk} to the value, or {@code onErr} to the fault, and returns the result. */
     <R> R fold(Function<? super T, ? extends R> onOk, Function<? super Fault, ? extends R> onErr);
 
     /** Returns the result of applying {@code f} to the value, or the same fault. */
@@ -55,7 +55,7 @@
         return fold(value -> ok(f.apply(value)), Result::err);
     }
 
-    /** Returns the result that {@code f} gives for the value, or the same fault. */
+    /** Returns the result that {@code f} returns for the value, or the same fault. */
     default <R> Result<R> flatMap(Function<? super T, Result<R>> f) {
         return fold(f, Result::err);
     }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/time/MonotonicClock.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/time/MonotonicClock.java
@@ -3,7 +3,7 @@
 /** A source of monotonic time. Implementations are thread safe. */
 @FunctionalInterface
 public interface MonotonicClock {
-    /** Returns nanoseconds since an arbitrary origin; never decreases. */
+    /** Returns the nanoseconds since an arbitrary origin; never decreases. */
     long nanoTime();
 
     /** Returns the clock of the Java virtual machine. */
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/time/package-info.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/time/package-info.java
@@ -1,4 +1,4 @@
-/** Clocks that decision logic receives instead of reading the system time. */
+/** Clocks that are passed to decision logic, which never reads the system time itself. */
 @NullMarked
 package org.ebonyrun.base.time;
 
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/FrameFilter.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/FrameFilter.java
@@ -12,11 +12,11 @@
 import org.tinylog.Logger;
 
 /**
- * Cuts the byte stream into frames of a four-byte big-endian length and a MessagePack body, and
+ * Splits the byte stream into frames of a four-byte big-endian length and a MessagePack body, and
  * passes the decoded messages to a listener.
  *
- * <p>Thread safe: state lives in connection attributes, and Grizzly runs one read of a connection
- * at a time. A frame above the limit or one that can't be decoded closes the connection.
+ * <p>Thread safe: the state is kept in connection attributes, and Grizzly runs one read of a
+ * connection at a time. A frame that exceeds the limit or cannot be decoded closes the connection.
  */
 final class FrameFilter extends BaseFilter {
     private static final int HEADER_BYTES = 4;
@@ -25,8 +25,8 @@
     private final LinkListener mListener;
     private final int mMaxFrameBytes;
     private final int mMaxPendingBytes;
-    private final LongAdder mReceived = new LongAdder();
-    private final LongAdder mSent = new LongAdder();
+    private final LongAdder mReceivedBytes = new LongAdder();
+    private final LongAdder mSentBytes = new LongAdder();
     private final Attribute<GrizzlyLink> mLink =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("ebonyrun.link." + hashCode());
 
@@ -37,12 +37,13 @@
         mMaxPendingBytes = maxPendingBytes;
     }
 
-    /** Returns the link of a connection, created on first use and announced to the listener. */
+    /** Returns the link of a connection; creates it and notifies the listener on first use. */
     GrizzlyLink link(Connection<?> connection) {
         synchronized (connection) {
             GrizzlyLink link = mLink.get(connection);
             if (link == null) {
-                GrizzlyLink created = new GrizzlyLink(connection, mCodec, mMaxPendingBytes, mSent);
+                GrizzlyLink created =
+                        new GrizzlyLink(connection, mCodec, mMaxPendingBytes, mSentBytes);
                 mLink.set(connection, created);
                 mListener.onOpen(created);
                 connection.addCloseListener((closed, type) -> mListener.onClose(created));
@@ -53,11 +54,11 @@
     }
 
     long bytesReceived() {
-        return mReceived.sum();
+        return mReceivedBytes.sum();
     }
 
     long bytesSent() {
-        return mSent.sum();
+        return mSentBytes.sum();
     }
 
     @Override
@@ -73,7 +74,8 @@
         while (buffer.remaining() >= HEADER_BYTES) {
             int length = buffer.getInt(buffer.position());
             if (length <= 0 || length > mMaxFrameBytes) {
-                Logger.warn("peer={} frame-bytes={} refused", link.peer(), length);
+                Logger.warn(
+                        "peer={} invalid frame length {}; closing the link", link.peer(), length);
                 link.close();
                 return ctx.getStopAction();
             }
@@ -83,7 +85,7 @@
             buffer.position(buffer.position() + HEADER_BYTES);
             byte[] frame = new byte[length];
             buffer.get(frame);
-            mReceived.add(HEADER_BYTES + length);
+            mReceivedBytes.add(HEADER_BYTES + length);
             if (!deliver(link, frame)) {
                 return ctx.getStopAction();
             }
@@ -103,7 +105,10 @@
                             return true;
                         },
                         fault -> {
-                            Logger.warn("peer={} frame refused: {}", link.peer(), fault.detail());
+                            Logger.warn(
+                                    "peer={} malformed frame; closing the link: {}",
+                                    link.peer(),
+                                    fault.detail());
                             link.close();
                             return false;
                         });
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/GrizzlyLink.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/GrizzlyLink.java
@@ -15,18 +15,22 @@
 /**
  * A link over a Grizzly TCP connection.
  *
- * <p>Thread safe: Grizzly queues concurrent writes; the count of waiting bytes is atomic.
+ * <p>Thread safe: Grizzly queues concurrent writes; the number of pending bytes is atomic.
  */
 final class GrizzlyLink implements Link {
     private final Connection<?> mConnection;
     private final MessageCodec mCodec;
     private final int mMaxPendingBytes;
     private final AtomicInteger mPendingBytes = new AtomicInteger();
-    private final LongAdder mSent;
+    private final LongAdder mSentBytes;
     private final String mPeer;
 
-    GrizzlyLink(Connection<?> connection, MessageCodec codec, int maxPendingBytes, LongAdder sent) {
-        mSent = sent;
+    GrizzlyLink(
+            Connection<?> connection,
+            MessageCodec codec,
+            int maxPendingBytes,
+            LongAdder sentBytes) {
+        mSentBytes = sentBytes;
         mConnection = connection;
         mCodec = codec;
         mMaxPendingBytes = maxPendingBytes;
@@ -47,7 +51,7 @@
         frame.putInt(body.length).put(body).flip();
         int size = frame.remaining();
         mPendingBytes.addAndGet(size);
-        mSent.add(size);
+        mSentBytes.add(size);
         Buffer buffer = Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, frame);
         Writeable<SocketAddress> writeable = writeable();
         writeable.write(
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/Link.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/Link.java
@@ -1,11 +1,11 @@
 package org.ebonyrun.base.wire;
 
-/** One connection to a peer process. Thread safe. */
+/** A connection to a peer process. Thread safe. */
 public interface Link {
     /**
-     * Sends a message; messages of one thread keep their order. Returns false, with nothing sent,
-     * when the link is closed. A link on which too much waits to be written is closed, so that no
-     * message is ever lost on a link that stays open.
+     * Sends a message; messages of one thread keep their order. Returns false, without sending
+     * anything, if the link is closed. A link that has too many bytes pending is closed, so that no
+     * message is lost on a link that stays open.
      */
     boolean send(Message message);
 
@@ -15,6 +15,6 @@
     /** Returns whether the link can still carry messages. */
     boolean isOpen();
 
-    /** Closes the link; the listener is told once. */
+    /** Closes the link; the listener is notified once. */
     void close();
 }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/LinkListener.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/LinkListener.java
@@ -1,6 +1,6 @@
 package org.ebonyrun.base.wire;
 
-/** Receives what happens on links. Called on I/O threads; implementations must not block. */
+/** Receives the events of links. Called on I/O threads; implementations must not block. */
 public interface LinkListener {
     /** Called once before any message of the link. */
     void onOpen(Link link);
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/LinkTransport.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/LinkTransport.java
@@ -15,11 +15,11 @@
 /**
  * Opens and accepts links over TCP.
  *
- * <p>Thread safe. All links of one transport share a few selector threads; the listener runs on
- * them, so messages of one link are delivered in order.
+ * <p>Thread safe. All links of a transport share a few selector threads. The listener is called on
+ * these threads, so the messages of a link are delivered in order.
  */
 public final class LinkTransport implements AutoCloseable {
-    /** Largest accepted frame, in bytes. */
+    /** The maximum length of an accepted frame, in bytes. */
     public static final int MAX_FRAME_BYTES = 8 << 20;
 
     private static final int MAX_PENDING_BYTES = 32 << 20;
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Creates and starts a transport whose links report to {@code listener}.
+     * Creates and starts a transport that reports the events of its links to {@code listener}.
      *
-     * @param name the name of the transport's threads
+     * @param name the name of the transport's thread pool
      */
     public static LinkTransport start(String name, MessageCodec codec, LinkListener listener)
             throws IOException {
@@ -51,7 +51,7 @@
                                         .build())
                         .setIOStrategy(SameThreadIOStrategy.getInstance())
                         .setSelectorRunnersCount(SELECTOR_THREADS)
-                        .setSelectorThreadPoolConfig(pool(name))
+                        .setSelectorThreadPoolConfig(selectorPool(name))
                         .setTcpNoDelay(true)
                         .setReuseAddress(true)
                         .build();
@@ -60,43 +60,43 @@
         return new LinkTransport(transport, filter);
     }
 
-    /** Listens on an address and returns the port, which is chosen by the system when zero. */
+    /** Listens on an address and returns the port; port zero lets the operating system choose. */
     public int listen(String host, int port) throws IOException {
         var server = mTransport.bind(new InetSocketAddress(host, port));
         return ((InetSocketAddress) server.getLocalAddress()).getPort();
     }
 
-    /** Connects to a peer; the listener hears of the link before the future completes. */
+    /** Connects to a peer; the listener is notified of the link before the future completes. */
     public CompletableFuture<Link> connect(String host, int port) {
-        CompletableFuture<Link> answer = new CompletableFuture<>();
+        CompletableFuture<Link> link = new CompletableFuture<>();
         mTransport.connect(
                 new InetSocketAddress(host, port),
                 new EmptyCompletionHandler<Connection>() {
                     @Override
                     @SuppressWarnings("rawtypes")
                     public void completed(Connection connection) {
-                        answer.complete(mFilter.link(connection));
+                        link.complete(mFilter.link(connection));
                     }
 
                     @Override
                     public void failed(Throwable cause) {
-                        answer.completeExceptionally(cause);
+                        link.completeExceptionally(cause);
                     }
                 });
-        return answer;
+        return link;
     }
 
-    /** Returns how many bytes were received on all links. */
+    /** Returns the number of bytes received on all links. */
     public long bytesReceived() {
         return mFilter.bytesReceived();
     }
 
-    /** Returns how many bytes were sent on all links. */
+    /** Returns the number of bytes sent on all links. */
     public long bytesSent() {
         return mFilter.bytesSent();
     }
 
-    private static ThreadPoolConfig pool(String name) {
+    private static ThreadPoolConfig selectorPool(String name) {
         return ThreadPoolConfig.defaultConfig()
                 .setPoolName(name)
                 .setCorePoolSize(SELECTOR_THREADS)
@@ -109,7 +109,7 @@
         try {
             mTransport.shutdownNow();
         } catch (IOException ignored) {
-            // The transport is gone either way.
+            // The transport is not used any more, whether or not the shutdown succeeded.
         }
     }
 }
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/MessageCodec.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/MessageCodec.java
@@ -17,11 +17,12 @@
 /**
  * Encodes messages as MessagePack maps that carry the message's type name.
  *
- * <p>Immutable and thread safe. Only the types given at creation can be decoded, so a peer can't
- * name a class of its own. Unknown fields are ignored, so a newer peer may add some.
+ * <p>Immutable and thread safe. Only the types given at creation can be decoded, so a peer cannot
+ * make this process instantiate other classes. Unknown fields are ignored, so that newer peers can
+ * add fields.
  */
 public final class MessageCodec {
-    /** Gives every message its type name on the wire. */
+    /** Adds the type name to every encoded message. */
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "@")
     private interface Typed {}
 
@@ -48,17 +49,17 @@
     /**
      * Encodes a message.
      *
-     * @throws IllegalArgumentException if the message can't be encoded
+     * @throws IllegalArgumentException if the message cannot be encoded
      */
     public byte[] encode(Message message) {
         try {
             return mWriter.writeValueAsBytes(message);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("cannot encode " + message.getClass(), e);
+            throw new IllegalArgumentException("cannot encode message of " + message.getClass(), e);
         }
     }
 
-    /** Decodes a message; hostile input gives a fault, never an exception. */
+    /** Decodes a message; returns a fault, and never throws, for malformed input. */
     public Result<Message> decode(byte[] frame, String peer) {
         try {
             Message message = mReader.readValue(frame);
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/package-info.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/wire/package-info.java
@@ -1,4 +1,4 @@
-/** Length-prefixed MessagePack frames between the system's own processes. */
+/** Length-prefixed MessagePack frames between the processes of this system. */
 @NullMarked
 package org.ebonyrun.base.wire;
 
--- a/ebonyrun-base/src/test/java/org/ebonyrun/base/eventloop/EventLoopTest.java
+++ b/ebonyrun-base/src/test/java/org/ebonyrun/base/eventloop/EventLoopTest.java
@@ -16,9 +16,9 @@
 class EventLoopTest {
     private static final long TICK_NANOS = TimeUnit.HOURS.toNanos(1);
 
-    /** Records events, and waits at the event {@code block}. */
+    /** Records events; the event {@code block} blocks and the event {@code throw} throws. */
     private static final class Recorder implements EventHandler<String> {
-        private final List<String> mSeen = new CopyOnWriteArrayList<>();
+        private final List<String> mEvents = new CopyOnWriteArrayList<>();
         private final CountDownLatch mBlocked = new CountDownLatch(1);
         private final CountDownLatch mRelease = new CountDownLatch(1);
 
@@ -29,9 +29,9 @@
                 await(mRelease);
             }
             if (event.equals("throw")) {
-                throw new IllegalStateException("as the test wants");
+                throw new IllegalStateException("thrown by the test");
             }
-            mSeen.add(event);
+            mEvents.add(event);
         }
 
         private static void await(CountDownLatch latch) {
@@ -44,33 +44,33 @@
     }
 
     @Test
-    void handlesEventsInOrderAndSurvivesAFailure() {
+    void handlesEventsInOrderAndContinuesAfterAnException() {
         Recorder recorder = new Recorder();
-        try (EventLoop<String> duty =
+        try (EventLoop<String> eventLoop =
                 EventLoop.start("test", 8, recorder, MonotonicClock.system(), TICK_NANOS)) {
-            duty.post("a");
-            duty.post("throw");
-            duty.post("b");
-            assertThat(duty.query(() -> "answer").join(), is("answer"));
-            assertThat(recorder.mSeen, contains("a", "b"));
+            eventLoop.post("a");
+            eventLoop.post("throw");
+            eventLoop.post("b");
+            assertThat(eventLoop.query(() -> "answer").join(), is("answer"));
+            assertThat(recorder.mEvents, contains("a", "b"));
         }
     }
 
     @Test
-    void refusesWhenTheRingIsFull() throws InterruptedException {
+    void refusesEventsWhileTheRingIsFull() throws InterruptedException {
         Recorder recorder = new Recorder();
-        try (EventLoop<String> duty =
+        try (EventLoop<String> eventLoop =
                 EventLoop.start("test", 2, recorder, MonotonicClock.system(), TICK_NANOS)) {
-            duty.post("block");
+            eventLoop.post("block");
             recorder.mBlocked.await();
-            assertThat(duty.offer("1"), is(true));
-            assertThat(duty.offer("2"), is(true));
-            assertThat(duty.offer("3"), is(false));
-            assertThat(duty.refused(), is(1L));
+            assertThat(eventLoop.offer("1"), is(true));
+            assertThat(eventLoop.offer("2"), is(true));
+            assertThat(eventLoop.offer("3"), is(false));
+            assertThat(eventLoop.refused(), is(1L));
             recorder.mRelease.countDown();
-            duty.post("4");
-            duty.query(() -> true).join();
-            assertThat(recorder.mSeen, contains("block", "1", "2", "4"));
+            eventLoop.post("4");
+            eventLoop.query(() -> true).join();
+            assertThat(recorder.mEvents, contains("block", "1", "2", "4"));
         }
     }
 }
--- a/ebonyrun-base/src/test/java/org/ebonyrun/base/id/VmIdTest.java
+++ b/ebonyrun-base/src/test/java/org/ebonyrun/base/id/VmIdTest.java
@@ -11,20 +11,20 @@
 class VmIdTest {
     @ParameterizedTest
     @ValueSource(strings = {"a", "sampler-1", "hall_a.2", "9lives"})
-    void acceptsNames(String name) {
+    void acceptsValidNames(String name) {
         assertThat(VmId.of(name).toString(), is(name));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "-a", "a b", "a/b", "a\n", "ä"})
-    void refusesOtherTextAndNamesIt(String name) {
+    void rejectsInvalidNamesAndQuotesThem(String name) {
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> VmId.of(name));
         assertThat(e.getMessage(), containsString("'" + name + "'"));
     }
 
     @org.junit.jupiter.api.Test
-    void refusesLongNames() {
+    void rejectsNamesAbove63Characters() {
         assertThrows(IllegalArgumentException.class, () -> VmId.of("x".repeat(64)));
     }
 }
--- a/ebonyrun-base/src/test/java/org/ebonyrun/base/json/JsonTreesTest.java
+++ b/ebonyrun-base/src/test/java/org/ebonyrun/base/json/JsonTreesTest.java
@@ -26,7 +26,7 @@
                 "\"text\"",
                 "false"
             })
-    void whatIsWrittenIsWhatWasRead(String text) {
+    void preservesValuesInRoundTrips(String text) {
         byte[] once = JsonTrees.write(JsonTrees.read(bytes(text)));
         byte[] twice = JsonTrees.write(JsonTrees.read(once));
 
@@ -35,20 +35,20 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", " ", "{", "[1", "{\"a\"}", "{} {}", "nul", "[1,]", "{\"a\":}"})
-    void whatIsNotOneValueIsRefused(String text) {
+    void rejectsTextThatIsNotExactlyOneValue(String text) {
         assertThrows(IllegalArgumentException.class, () -> JsonTrees.read(bytes(text)));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1_001, 100_000})
-    void deepNestingIsRefused(int depth) {
+    void rejectsDeepNesting(int depth) {
         byte[] nested = bytes("[".repeat(depth));
 
         assertThrows(IllegalArgumentException.class, () -> JsonTrees.read(nested));
     }
 
     @Property(seed = "1", tries = 5000)
-    void hostileBytesGiveNothingButTheDeclaredException(@ForAll byte[] text) {
+    void throwsOnlyTheDeclaredExceptionForArbitraryBytes(@ForAll byte[] text) {
         try {
             JsonTrees.read(text);
         } catch (RuntimeException e) {
--- a/ebonyrun-base/src/test/java/org/ebonyrun/base/log/EventLogTest.java
+++ b/ebonyrun-base/src/test/java/org/ebonyrun/base/log/EventLogTest.java
@@ -13,7 +13,7 @@
 
 class EventLogTest {
     @Test
-    void aLineIsOneJsonObjectWhateverItsTexts() {
+    void formatsALineAsOneJsonObjectAndEscapesItsValues() {
         LogLine line =
                 LogLine.of("call.sent")
                         .with("request", "a\"b\\c\nd")
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void closingWritesWhatWaits() {
+    void closeWritesQueuedLines() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         EventLog log = EventLog.start(out);
         log.write(LogLine.of("stop"));
@@ -38,15 +38,15 @@
     }
 
     @Test
-    void aStuckWriterNeverBlocksAndLostLinesAreCounted() {
-        CountDownLatch stuck = new CountDownLatch(1);
+    void doesNotBlockCallersOnABlockedStreamAndCountsDroppedLines() {
+        CountDownLatch unblock = new CountDownLatch(1);
         EventLog log =
                 EventLog.start(
                         new OutputStream() {
                             @Override
                             public void write(int b) {
                                 try {
-                                    stuck.await();
+                                    unblock.await();
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
@@ -57,7 +57,7 @@
         }
 
         assertThat(log.dropped(), greaterThan(0L));
-        stuck.countDown();
+        unblock.countDown();
         log.close();
     }
 }
--- a/ebonyrun-base/src/test/java/org/ebonyrun/base/result/ResultTest.java
+++ b/ebonyrun-base/src/test/java/org/ebonyrun/base/result/ResultTest.java
@@ -11,19 +11,19 @@
             Fault.unknown(FaultCode.PEER_LOST, "agent.link", "vm-1", "lost");
 
     @Test
-    void mapsTheValueOnly() {
+    void mapsValuesAndKeepsFaults() {
         assertThat(Result.ok(2).map(n -> n + 1).orThrow(), is(3));
         Result<Integer> failed = Result.<Integer>err(FAULT).map(n -> n + 1);
         assertThat(failed.fold(n -> "value", Fault::peer), is("vm-1"));
     }
 
     @Test
-    void throwsForAFault() {
+    void orThrowThrowsForAFault() {
         assertThrows(IllegalStateException.class, () -> Result.err(FAULT).orThrow());
     }
 
     @Test
-    void faultsKeepTheirOutcome() {
+    void faultCopiesHaveTheGivenOutcomeAndRetryDelay() {
         assertThat(FAULT.isNotRun(), is(false));
         assertThat(FAULT.withOutcome(Outcome.NOT_RUN).isNotRun(), is(true));
         assertThat(FAULT.code().wireName(), is("peer-lost"));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonMain.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonMain.java
@@ -17,7 +17,7 @@
 import org.ebonyrun.daemon.hosted.HostedMain;
 import org.tinylog.Logger;
 
-/** The binary {@code ebonyrund}. Stateless. */
+/** Main class of the binary {@code ebonyrund}. Stateless. */
 public final class DaemonMain {
     private static final int EXIT_OK = 0;
     private static final int EXIT_USAGE = 2;
@@ -32,7 +32,7 @@
         boolean drainAndClose() throws InterruptedException;
     }
 
-    /** Starts a daemon and runs it until it is told to stop. */
+    /** Starts a daemon and runs it until the process is stopped. */
     public static void main(String[] args) {
         int status = run(args);
         if (status != EXIT_OK) {
@@ -80,12 +80,12 @@
             System.out.println(file + ": valid");
             return EXIT_OK;
         }
-        return run(parsed.settings());
+        return runNode(parsed.settings());
     }
 
-    private static int run(DaemonSettings settings) {
+    private static int runNode(DaemonSettings settings) {
         try {
-            Node node = node(settings);
+            Node node = startNode(settings);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(node), "drain"));
             new CountDownLatch(1).await();
             return EXIT_OK;
@@ -98,18 +98,18 @@
         }
     }
 
-    private static Node node(DaemonSettings settings) throws IOException {
+    private static Node startNode(DaemonSettings settings) throws IOException {
         if (settings.isEntry()) {
             EntryNode entry = EntryNode.start(settings);
-            started(settings, entry.httpPort(), entry.linkPort());
+            logStarted(settings, entry.httpPort(), entry.linkPort());
             return entry::drainAndClose;
         }
         AgentNode agent = AgentNode.start(settings);
-        started(settings, agent.httpPort(), agent.linkPort());
+        logStarted(settings, agent.httpPort(), agent.linkPort());
         return agent::drainAndClose;
     }
 
-    private static void started(DaemonSettings settings, int httpPort, int linkPort) {
+    private static void logStarted(DaemonSettings settings, int httpPort, int linkPort) {
         Logger.info(
                 "vm={} role={} http-port={} link-port={} started",
                 settings.vm(),
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonSettings.java
@@ -20,17 +20,20 @@
  *
  * @param role {@code entry} or {@code endpoint}
  * @param vm the VM on which the daemon runs
- * @param failureDomain where the VM runs
- * @param linkListen where the daemon listens for links
- * @param httpListen where it listens for HTTP: callers at an entry, operators at both
- * @param platform where the platform's services are
+ * @param failureDomain the failure domain of the VM
+ * @param linkListen the address on which the daemon listens for links
+ * @param httpListen the address on which it listens for HTTP: from operators, and at an entry also
+ *     from callers
+ * @param platform the addresses of the platform's services
  * @param service the service of the endpoint; null at an entry
  * @param endpoint the address of the endpoint; null at an entry
  * @param engine whether the endpoint is a model engine
- * @param maxBodyBytes the largest request body, in bytes
- * @param maxHeldBytes finished samples above which an agent starts no more, in bytes
- * @param entriesPerEndpoint how many entries each endpoint has; the same at all entries
- * @param drainMillis how long a graceful shutdown may take, in milliseconds
+ * @param maxBodyBytes the maximum size of a request body, in bytes
+ * @param maxHeldBytes the total size of finished samples held by an agent, in bytes, above which it
+ *     starts no further samples
+ * @param entriesPerEndpoint the number of entries that connect to each endpoint; must be equal at
+ *     all entries
+ * @param drainMillis the maximum duration of a graceful shutdown, in milliseconds
  */
 public record DaemonSettings(
         String role,
@@ -64,12 +67,12 @@
     /**
      * An address to listen on.
      *
-     * @param host the IP number
-     * @param port the port; zero lets the system choose
+     * @param host the IP address
+     * @param port the port; zero lets the operating system choose
      */
     public record ListenAddress(String host, int port) {
         /**
-         * Reads {@code host:port}.
+         * Parses {@code host:port}.
          *
          * @throws IllegalArgumentException if the text has another form
          */
@@ -97,19 +100,19 @@
     public record PlatformAddresses(URI keyValue, URI vms, URI weights) {}
 
     /**
-     * Settings and what is wrong with them.
+     * Settings and the problems found in them.
      *
-     * @param settings what could be read
-     * @param problems every fault found; empty for valid settings
+     * @param settings the settings, with defaults in place of missing or invalid values
+     * @param problems all problems found; empty if the settings are valid
      */
     public record Parsed(DaemonSettings settings, List<Problem> problems) {}
 
-    /** Returns whether this is an entry. */
+    /** Returns whether the daemon is an entry. */
     public boolean isEntry() {
         return role.equals(ROLE_ENTRY);
     }
 
-    /** Reads settings and finds every fault in them. */
+    /** Parses settings and reports all problems in them. */
     public static Parsed parse(String file, String text) {
         List<Problem> problems = new ArrayList<>();
         SettingsNode root = SettingsNode.parse(file, text, problems);
@@ -129,21 +132,21 @@
         DaemonSettings settings =
                 new DaemonSettings(
                         role,
-                        needed(root.get("vm"), VmId::of, VmId.of("unknown")),
-                        needed(
+                        readRequired(root.get("vm"), VmId::of, VmId.of("unknown")),
+                        readRequired(
                                 root.get("failure_domain"),
                                 FailureDomain::of,
                                 FailureDomain.of("unknown")),
-                        listen(root.get("listen").get("link")),
-                        listen(root.get("listen").get("http")),
-                        platform(root.get("platform")),
+                        readListen(root.get("listen").get("link")),
+                        readListen(root.get("listen").get("http")),
+                        readPlatform(root.get("platform")),
                         atEndpoint
-                                ? needed(
+                                ? readRequired(
                                         endpoint.get("service"),
                                         ServiceName::of,
                                         ServiceName.of("unknown"))
                                 : null,
-                        atEndpoint ? uri(endpoint.get("address")) : null,
+                        atEndpoint ? readUri(endpoint.get("address")) : null,
                         endpoint.get("kind").text("engine").equals("engine"),
                         (int)
                                 (long)
@@ -171,18 +174,20 @@
         }
     }
 
-    private static PlatformAddresses platform(SettingsNode node) {
+    private static PlatformAddresses readPlatform(SettingsNode node) {
         node.allow(Set.of("key_value", "vms", "weights"));
         return new PlatformAddresses(
-                uri(node.get("key_value")), uri(node.get("vms")), uri(node.get("weights")));
+                readUri(node.get("key_value")),
+                readUri(node.get("vms")),
+                readUri(node.get("weights")));
     }
 
-    private static ListenAddress listen(SettingsNode node) {
-        return needed(node, ListenAddress::parse, new ListenAddress("127.0.0.1", 0));
+    private static ListenAddress readListen(SettingsNode node) {
+        return readRequired(node, ListenAddress::parse, new ListenAddress("127.0.0.1", 0));
     }
 
-    private static URI uri(SettingsNode node) {
-        return needed(node, DaemonSettings::parseUri, URI.create("http://127.0.0.1:1"));
+    private static URI readUri(SettingsNode node) {
+        return readRequired(node, DaemonSettings::parseUri, URI.create("http://127.0.0.1:1"));
     }
 
     private static URI parseUri(String text) {
@@ -194,10 +199,10 @@
         return uri;
     }
 
-    private static <T> T needed(SettingsNode node, Function<String, T> read, T fallback) {
+    private static <T> T readRequired(SettingsNode node, Function<String, T> parser, T fallback) {
         if (!node.isPresent()) {
             node.problem("is missing");
         }
-        return node.read(read, fallback);
+        return node.read(parser, fallback);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminHandlers.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminHandlers.java
@@ -9,41 +9,41 @@
 import org.glassfish.grizzly.http.server.Response;
 import org.tinylog.Logger;
 
-/** HTTP handlers for operators that every process has. Stateless and thread safe. */
+/** The HTTP handlers for operators that all processes have. Stateless and thread safe. */
 public final class AdminHandlers {
     private static final String JSON = "application/json";
     private static final String TEXT = "text/plain; version=0.0.4; charset=utf-8";
 
     private AdminHandlers() {}
 
-    /** Returns the handlers of a process by path. */
-    public static Map<String, HttpHandler> of(ManagedNode source) {
+    /** Returns the handlers of a process, keyed by path. */
+    public static Map<String, HttpHandler> of(ManagedNode node) {
         Map<String, HttpHandler> handlers = new LinkedHashMap<>();
-        handlers.put("/admin/dump", asyncHandler((request, out) -> dump(source, out)));
-        handlers.put("/admin/drain", asyncHandler((request, out) -> drain(source, request, out)));
+        handlers.put("/admin/dump", asyncHandler((request, out) -> dump(node, out)));
+        handlers.put("/admin/drain", asyncHandler((request, out) -> drain(node, request, out)));
         handlers.put("/admin/log-level", asyncHandler(AdminHandlers::logLevel));
-        handlers.put("/ready", asyncHandler((request, out) -> ready(source, out)));
+        handlers.put("/ready", asyncHandler((request, out) -> ready(node, out)));
         handlers.put(
                 "/metrics",
-                asyncHandler((request, out) -> out.sendWhole(200, TEXT, source.metrics())));
+                asyncHandler((request, out) -> out.sendWhole(200, TEXT, node.metrics())));
         return handlers;
     }
 
-    /** Answers one request. Implementations must not block. */
+    /** Handles requests. Implementations must not block. */
     @FunctionalInterface
     public interface AsyncRequestHandler {
-        /** Answers the request, now or later. */
+        /** Handles a request; sends the response now or later. */
         void handle(Request request, Responder out);
     }
 
-    /** Returns a handler that runs an action with a suspended response. */
-    public static HttpHandler asyncHandler(AsyncRequestHandler action) {
+    /** Returns a Grizzly handler that suspends the response and passes the request on. */
+    public static HttpHandler asyncHandler(AsyncRequestHandler handler) {
         return new HttpHandler() {
             @Override
             public void service(Request request, Response response) {
                 Responder out = Responder.suspend(response);
                 try {
-                    action.handle(request, out);
+                    handler.handle(request, out);
                 } catch (RuntimeException e) {
                     Logger.error(e, "path={} failed", request.getRequestURI());
                     out.sendWhole(500, JSON, Json.write(Map.of("error", "internal")));
@@ -52,8 +52,8 @@
         };
     }
 
-    private static void dump(ManagedNode source, Responder out) {
-        source.dump()
+    private static void dump(ManagedNode node, Responder out) {
+        node.dump()
                 .whenComplete(
                         (state, error) -> {
                             if (error == null) {
@@ -64,12 +64,12 @@
                         });
     }
 
-    private static void drain(ManagedNode source, Request request, Responder out) {
+    private static void drain(ManagedNode node, Request request, Responder out) {
         if (!request.getMethod().getMethodString().equals("POST")) {
             out.sendWhole(405, JSON, Json.write(Map.of("error", "use POST")));
             return;
         }
-        source.drain();
+        node.drain();
         out.sendWhole(202, JSON, Json.write(Map.of("draining", true)));
     }
 
@@ -89,8 +89,8 @@
         }
     }
 
-    private static void ready(ManagedNode source, Responder out) {
-        boolean ready = source.isReady();
+    private static void ready(ManagedNode node, Responder out) {
+        boolean ready = node.isReady();
         out.sendWhole(ready ? 200 : 503, JSON, Json.write(Map.of("ready", ready)));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/LevelWriter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/LevelWriter.java
@@ -10,36 +10,37 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Writes log entries to the console from a level that can be changed while the process runs.
+ * Writes log entries to the console, with a minimum level that can be changed at run time.
  * Configured in {@code tinylog.properties} as the writer {@code level}.
  *
  * <p>Thread safe: the level is volatile, and the console writer takes entries from any thread.
  */
 public final class LevelWriter implements Writer {
-    private static volatile Level sLevel = Level.INFO;
+    private static volatile Level sMinimumLevel = Level.INFO;
 
     private final ConsoleWriter mConsole;
 
     /**
      * Creates a writer.
      *
-     * @param properties the properties of the writer; {@code minimum} is the first level
+     * @param properties the properties of the writer; {@code minimum} is the initial level, unless
+     *     the system property {@code ebonyrun.log} is set
      */
     public LevelWriter(Map<String, String> properties) {
         mConsole = new ConsoleWriter(properties);
-        String first = System.getProperty("ebonyrun.log", properties.get("minimum"));
-        if (first != null) {
-            setLevel(first);
+        String initial = System.getProperty("ebonyrun.log", properties.get("minimum"));
+        if (initial != null) {
+            setLevel(initial);
         }
     }
 
     /**
-     * Sets the lowest level that is written.
+     * Sets the minimum level of written entries.
      *
-     * @throws IllegalArgumentException if there is no such level
+     * @throws IllegalArgumentException if there is no level with this name
      */
     public static void setLevel(String name) {
-        sLevel = Level.valueOf(name.toUpperCase(Locale.ROOT));
+        sMinimumLevel = Level.valueOf(name.toUpperCase(Locale.ROOT));
     }
 
     @Override
@@ -51,7 +52,7 @@
 
     @Override
     public void write(LogEntry entry) throws Exception {
-        if (entry.getLevel().ordinal() >= sLevel.ordinal()) {
+        if (entry.getLevel().ordinal() >= sMinimumLevel.ordinal()) {
             mConsole.write(entry);
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/ManagedNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/ManagedNode.java
@@ -2,17 +2,21 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** What a process tells operators of itself. Implementations are thread safe. */
+/**
+ * A process as operators see it: its state, readiness and metrics, and its graceful shutdown.
+ *
+ * <p>Implementations are thread safe.
+ */
 public interface ManagedNode {
-    /** Returns the process's state as a value that can be written as JSON. */
+    /** Returns the state of the process as a value that can be serialized as JSON. */
     CompletableFuture<Object> dump();
 
-    /** Returns whether the process may be sent new work. */
+    /** Returns whether the process accepts new work. */
     boolean isReady();
 
-    /** Begins a graceful shutdown. */
+    /** Starts draining: the process refuses new work and finishes the accepted work. */
     void drain();
 
-    /** Returns the process's metrics in the Prometheus text format. */
+    /** Returns the metrics of the process in the Prometheus text format. */
     byte[] metrics();
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/NodeMetrics.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/NodeMetrics.java
@@ -13,10 +13,10 @@
 
 /** The metrics of one process. Thread safe. */
 public final class NodeMetrics {
-    private static final double[] LATENESS_SECONDS = {
+    private static final double[] LATENCY_BUCKETS_SECONDS = {
         0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 30
     };
-    private static final double[] VERSIONS = {0, 1, 2, 3, 4, 6, 8, 12};
+    private static final double[] AGE_BUCKETS_VERSIONS = {0, 1, 2, 3, 4, 6, 8, 12};
 
     private final PrometheusRegistry mRegistry = new PrometheusRegistry();
     private final Histogram mLatency =
@@ -24,7 +24,7 @@
                     .name("ebonyrun_call_seconds")
                     .help("Time from a call's arrival to its whole answer, by class.")
                     .labelNames("class")
-                    .classicUpperBounds(LATENESS_SECONDS)
+                    .classicUpperBounds(LATENCY_BUCKETS_SECONDS)
                     .classicOnly()
                     .register(mRegistry);
     private final Counter mCalls =
@@ -38,7 +38,7 @@
                     .name("ebonyrun_sample_age_versions")
                     .help("Age of delivered samples in versions, by trainer.")
                     .labelNames("trainer")
-                    .classicUpperBounds(VERSIONS)
+                    .classicUpperBounds(AGE_BUCKETS_VERSIONS)
                     .classicOnly()
                     .register(mRegistry);
     private final Counter mIdle =
@@ -53,13 +53,13 @@
                     .help("Attempts of calls that were not first attempts, by class.")
                     .labelNames("class")
                     .register(mRegistry);
-    private final Gauge mRoom =
+    private final Gauge mFreeCapacity =
             Gauge.builder()
                     .name("ebonyrun_endpoint_room")
                     .help("Calls and samples that an endpoint would start now.")
                     .labelNames("endpoint", "kind")
                     .register(mRegistry);
-    private final Counter mPlatformCalls =
+    private final Counter mKeyValueCalls =
             Counter.builder()
                     .name("ebonyrun_platform_calls_total")
                     .help("Calls to the key-value service by kind and end.")
@@ -69,29 +69,29 @@
     /** Creates the metrics of a process, all zero. */
     public NodeMetrics() {}
 
-    /** Adds the fill of the rings of some duties. */
-    public void registerRingGauge(List<EventLoop<?>> duties) {
+    /** Registers a gauge with the fill ratio of each event loop's ring. */
+    public void registerRingGauge(List<EventLoop<?>> eventLoops) {
         GaugeWithCallback.builder()
                 .name("ebonyrun_ring_fill_ratio")
                 .help("Share of a duty's ring that is in use.")
                 .labelNames("duty")
                 .callback(
                         gauge -> {
-                            for (EventLoop<?> duty : duties) {
-                                double fill = (double) duty.depth() / duty.capacity();
-                                gauge.call(fill, duty.name());
+                            for (EventLoop<?> eventLoop : eventLoops) {
+                                double fill = (double) eventLoop.depth() / eventLoop.capacity();
+                                gauge.call(fill, eventLoop.name());
                             }
                         })
                 .register(mRegistry);
     }
 
-    /** Counts a call that was answered. */
+    /** Records a call that completed, with its latency. */
     public void recordAnsweredCall(String className, double seconds, boolean inTime) {
         mLatency.labelValues(className).observe(seconds);
         mCalls.labelValues(className, inTime ? "in-time" : "late").inc();
     }
 
-    /** Counts a call that ended in a fault. */
+    /** Counts a call that ended with a fault. */
     public void recordFailedCall(String className, String code) {
         mCalls.labelValues(className, code).inc();
     }
@@ -101,31 +101,31 @@
         mRetries.labelValues(className).inc();
     }
 
-    /** Takes note of the room that an endpoint reports. */
+    /** Sets the free capacity that an endpoint reports: the work that it would start now. */
     public void setFreeCapacity(String endpoint, int calls, int samples) {
-        mRoom.labelValues(endpoint, "call").set(calls);
-        mRoom.labelValues(endpoint, "sample").set(samples);
+        mFreeCapacity.labelValues(endpoint, "call").set(calls);
+        mFreeCapacity.labelValues(endpoint, "sample").set(samples);
     }
 
-    /** Forgets an endpoint that is gone. */
+    /** Removes the gauges of an endpoint that no longer exists. */
     public void removeEndpoint(String endpoint) {
-        mRoom.remove(endpoint, "call");
-        mRoom.remove(endpoint, "sample");
+        mFreeCapacity.remove(endpoint, "call");
+        mFreeCapacity.remove(endpoint, "sample");
     }
 
-    /** Counts a delivered sample. */
+    /** Records a delivered sample, with its age in versions. */
     public void recordDeliveredSample(String trainer, long age) {
         mStaleness.labelValues(trainer).observe(age);
     }
 
-    /** Counts the time that a pull waited. */
+    /** Adds the time that a pull waited for samples. */
     public void recordTrainerIdleTime(String trainer, double seconds) {
         mIdle.labelValues(trainer).inc(seconds);
     }
 
     /** Counts a call to the key-value service. */
     public void recordKeyValueCall(String kind, boolean success) {
-        mPlatformCalls.labelValues(kind, success ? "ok" : "fault").inc();
+        mKeyValueCalls.labelValues(kind, success ? "ok" : "fault").inc();
     }
 
     /** Returns all metrics in the Prometheus text format. */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/package-info.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/package-info.java
@@ -1,4 +1,4 @@
-/** Dumps, metrics and readiness of a process. */
+/** Administration of a process over HTTP: state dumps, metrics, readiness and draining. */
 @NullMarked
 package org.ebonyrun.daemon.admin;
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
@@ -57,35 +57,36 @@
 import org.glassfish.grizzly.http.server.HttpServer;
 
 /**
- * One agent: the only way to its endpoint.
+ * An agent, through which entries send all work to its endpoint.
  *
- * <p>Thread safe. Each duty's machine is touched on that duty's thread only; links and HTTP hand
- * their events to the duties' rings. An I/O thread waits while a ring is full, which slows the peer
- * down.
+ * <p>Thread safe. Each state machine is used on the thread of its event loop only; links and HTTP
+ * exchanges post their events to the event loops. An I/O thread blocks while a ring is full, which
+ * applies backpressure to the peer.
  */
 public final class AgentNode implements AutoCloseable, ManagedNode {
+    // Capacities of the rings, in events.
     private static final int RING = 16_384;
     private static final int SMALL_RING = 1_024;
     private static final int HTTP_WORKERS = 2;
     private static final long TICK_NANOS = Nanos.ofMillis(20);
     private static final long HEARTBEAT_MILLIS = 250;
-    private static final long STATE_MILLIS = 500;
+    private static final long STATE_POLL_MILLIS = 500;
     private static final int INITIAL_SLOTS = 0;
 
     private final DaemonSettings mSettings;
     private final HeartbeatPolicy mHeartbeats = new HeartbeatPolicy();
     private final NodeMetrics mMetrics = new NodeMetrics();
-    private final AsyncHttpClient mCaller;
+    private final AsyncHttpClient mHttpClient;
     private final EndpointAdapter mAdapter;
     private final FenceStore mFences;
-    private final LinkRegistry mBook;
+    private final LinkRegistry mLinks;
     private final LinkTransport mTransport;
     private final AttemptMachine mAttempts;
     private final ConfigMachine mConfig;
     private final SwapMachine mSwap;
-    private final EventLoop<Command<AttemptMachine>> mAttemptDuty;
-    private final EventLoop<Command<ConfigMachine>> mConfigDuty;
-    private final EventLoop<Command<SwapMachine>> mSwapDuty;
+    private final EventLoop<Command<AttemptMachine>> mAttemptLoop;
+    private final EventLoop<Command<ConfigMachine>> mConfigLoop;
+    private final EventLoop<Command<SwapMachine>> mSwapLoop;
     private final ScheduledExecutorService mTimer;
     private final HttpServer mHttp;
     private final int mLinkPort;
@@ -95,16 +96,16 @@
 
     private AgentNode(DaemonSettings settings) throws IOException {
         mSettings = settings;
-        mCaller = AsyncHttpClient.start();
+        mHttpClient = AsyncHttpClient.start();
         URI endpoint = requireNonNull(settings.endpoint());
-        EndpointListener events = new Events();
+        EndpointListener listener = new EndpointEventForwarder();
         mAdapter =
                 settings.engine()
-                        ? EngineAdapter.create(mCaller, endpoint, events)
-                        : PlainAdapter.create(mCaller, endpoint, events);
+                        ? EngineAdapter.create(mHttpClient, endpoint, listener)
+                        : PlainAdapter.create(mHttpClient, endpoint, listener);
         mFences =
                 FenceStore.create(
-                        HttpKeyValueStore.create(mCaller, settings.platform().keyValue()));
+                        HttpKeyValueStore.create(mHttpClient, settings.platform().keyValue()));
         MonotonicClock clock = MonotonicClock.system();
         AttemptLimits limits =
                 new AttemptLimits(
@@ -114,16 +115,16 @@
                         settings.vm(), limits, AttemptPolicy.standard(), new AttemptEffects());
         mConfig = ConfigMachine.create(new ConfigEffects());
         mSwap = SwapMachine.create(settings.vm(), new SwapEffects());
-        mAttemptDuty =
+        mAttemptLoop =
                 EventLoop.start(
                         "attempt", RING, StateMachineHandler.of(mAttempts), clock, TICK_NANOS);
-        mConfigDuty =
+        mConfigLoop =
                 EventLoop.start(
                         "config", SMALL_RING, StateMachineHandler.of(mConfig), clock, TICK_NANOS);
-        mSwapDuty =
+        mSwapLoop =
                 EventLoop.start(
                         "weights", SMALL_RING, StateMachineHandler.of(mSwap), clock, TICK_NANOS);
-        mMetrics.registerRingGauge(List.of(mAttemptDuty, mConfigDuty, mSwapDuty));
+        mMetrics.registerRingGauge(List.of(mAttemptLoop, mConfigLoop, mSwapLoop));
         ServiceName service = requireNonNull(settings.service());
         MembershipMessage.Hello hello =
                 new MembershipMessage.Hello(
@@ -133,8 +134,8 @@
                         settings.failureDomain(),
                         new SecureRandom().nextLong(),
                         settings.engine() ? endpoint.toString() : "");
-        mBook = LinkRegistry.create(hello, new Links());
-        mTransport = LinkTransport.start("links", WireTypes.codec(), mBook);
+        mLinks = LinkRegistry.create(hello, new LinkEventForwarder());
+        mTransport = LinkTransport.start("links", WireTypes.codec(), mLinks);
         mLinkPort = mTransport.listen(settings.linkListen().host(), settings.linkListen().port());
         mHttp =
                 HttpServers.start(
@@ -157,19 +158,19 @@
     public static AgentNode start(DaemonSettings settings) throws IOException {
         AgentNode node = new AgentNode(settings);
         node.mTimer.scheduleAtFixedRate(
-                node.mAdapter::requestState, 0, STATE_MILLIS, TimeUnit.MILLISECONDS);
+                node.mAdapter::requestState, 0, STATE_POLL_MILLIS, TimeUnit.MILLISECONDS);
         node.mTimer.scheduleAtFixedRate(
-                node::heartbeat, HEARTBEAT_MILLIS, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
-        node.learnFloor();
+                node::sendHeartbeats, HEARTBEAT_MILLIS, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
+        node.readFenceFloor();
         return node;
     }
 
-    /** Returns the port for links. */
+    /** Returns the port on which the agent listens for links. */
     public int linkPort() {
         return mLinkPort;
     }
 
-    /** Returns the port for operators. */
+    /** Returns the port on which the agent listens for HTTP requests of operators. */
     public int httpPort() {
         return HttpServers.port(mHttp);
     }
@@ -177,9 +178,9 @@
     @Override
     public CompletableFuture<Object> dump() {
         MonotonicClock clock = MonotonicClock.system();
-        return mAttemptDuty
+        return mAttemptLoop
                 .query(() -> mAttempts.dump(clock.nanoTime()))
-                .thenCombine(mSwapDuty.query(mSwap::floor), this::dump);
+                .thenCombine(mSwapLoop.query(mSwap::floor), this::dump);
     }
 
     @Override
@@ -190,8 +191,8 @@
     @Override
     public void drain() {
         mDraining = true;
-        mAttemptDuty.post((machine, now) -> machine.onDrain());
-        heartbeat();
+        mAttemptLoop.post((machine, now) -> machine.onDrain());
+        sendHeartbeats();
     }
 
     @Override
@@ -200,34 +201,34 @@
     }
 
     /**
-     * Refuses new work, waits until what was accepted is finished and held samples are fetched, at
-     * most for the time in the settings, and closes.
+     * Refuses new work, waits until the accepted work is finished and held samples are fetched, at
+     * most for the drain time of the settings, and closes.
      *
-     * @return whether everything was finished
+     * @return whether all work was finished
      */
     public boolean drainAndClose() throws InterruptedException {
         drain();
         long deadline = System.nanoTime() + Nanos.ofMillis(mSettings.drainMillis());
         boolean idle = false;
         while (!idle && System.nanoTime() < deadline) {
-            idle = mAttemptDuty.query(mAttempts::isIdle).join();
+            idle = mAttemptLoop.query(mAttempts::isIdle).join();
             TimeUnit.MILLISECONDS.sleep(20);
         }
         close();
         return idle;
     }
 
-    /** Closes at once, as a crash would. */
+    /** Closes immediately, without waiting for open work, as in a crash. */
     @Override
     public void close() {
         mTimer.shutdownNow();
-        mBook.closeAll();
+        mLinks.closeAll();
         mTransport.close();
         mHttp.shutdownNow();
-        mAttemptDuty.close();
-        mConfigDuty.close();
-        mSwapDuty.close();
-        mCaller.close();
+        mAttemptLoop.close();
+        mConfigLoop.close();
+        mSwapLoop.close();
+        mHttpClient.close();
     }
 
     private Object dump(AttemptMachine.Dump attempts, long floor) {
@@ -243,21 +244,21 @@
         return state;
     }
 
-    /** Sends a heartbeat to every entry if one is due. */
-    private void heartbeat() {
-        mAttemptDuty.offer(
+    /** Sends a heartbeat to all entries if one is due. */
+    private void sendHeartbeats() {
+        mAttemptLoop.offer(
                 (machine, now) -> {
                     EndpointLoad load = machine.load(now);
                     if (mHeartbeats.isDue(load, now)) {
-                        Message beat = new MembershipMessage.Heartbeat(mConfigVersion, load);
-                        mBook.introducedLinks().forEach(peer -> peer.link().send(beat));
+                        Message heartbeat = new MembershipMessage.Heartbeat(mConfigVersion, load);
+                        mLinks.introducedLinks().forEach(peer -> peer.link().send(heartbeat));
                     }
                 });
     }
 
-    /** Sends a heartbeat to one entry, due or not. */
-    private void greet(PeerLink peer) {
-        mAttemptDuty.offer(
+    /** Sends a heartbeat to one entry immediately. */
+    private void sendHeartbeat(PeerLink peer) {
+        mAttemptLoop.offer(
                 (machine, now) ->
                         peer.link()
                                 .send(
@@ -265,99 +266,99 @@
                                                 mConfigVersion, machine.load(now))));
     }
 
-    /** Reads the newest fence, again and again until the key-value service answers. */
-    private void learnFloor() {
+    /** Reads the fence floor; retries until the key-value service responds. */
+    private void readFenceFloor() {
         ServiceName service = requireNonNull(mSettings.service());
         mFences.read(WeightPlanner.leaseKey(service))
                 .thenAccept(
                         result ->
                                 result.fold(
                                         fence -> {
-                                            mSwapDuty.post(
+                                            mSwapLoop.post(
                                                     (machine, now) -> machine.onFloor(fence));
                                             return true;
                                         },
                                         fault -> {
-                                            retryFloor();
+                                            retryFenceFloor();
                                             return false;
                                         }));
     }
 
-    private void retryFloor() {
+    private void retryFenceFloor() {
         if (!mTimer.isShutdown()) {
-            mTimer.schedule(this::learnFloor, STATE_MILLIS, TimeUnit.MILLISECONDS);
+            mTimer.schedule(this::readFenceFloor, STATE_POLL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Hands what the endpoint does to the duties. Thread safe. */
-    private final class Events implements EndpointListener {
+    /** Posts the endpoint's events to the event loops. Thread safe. */
+    private final class EndpointEventForwarder implements EndpointListener {
         @Override
         public void onPiece(AttemptId id, byte[] data, int tokens, long version) {
-            mAttemptDuty.post((machine, now) -> machine.onPiece(id, data, tokens, version, now));
+            mAttemptLoop.post((machine, now) -> machine.onPiece(id, data, tokens, version, now));
         }
 
         @Override
         public void onEnd(AttemptId id, int status, String contentType) {
-            mAttemptDuty.post((machine, now) -> machine.onEnd(id, status, contentType, now));
+            mAttemptLoop.post((machine, now) -> machine.onEnd(id, status, contentType, now));
         }
 
         @Override
         public void onFailure(AttemptId id, boolean sent, FaultCode code, String detail) {
-            mAttemptDuty.post((machine, now) -> machine.onFailure(id, sent, code, detail, now));
+            mAttemptLoop.post((machine, now) -> machine.onFailure(id, sent, code, detail, now));
         }
 
         @Override
         public void onState(long version, int slots) {
             mReady = true;
-            mAttemptDuty.post((machine, now) -> machine.onEndpointState(version, slots, now));
+            mAttemptLoop.post((machine, now) -> machine.onEndpointState(version, slots, now));
         }
 
         @Override
         public void onUnreachable() {
             mReady = false;
-            mAttemptDuty.post((machine, now) -> machine.onEndpointUnreachable());
+            mAttemptLoop.post((machine, now) -> machine.onEndpointUnreachable());
         }
 
         @Override
         public void onLoadFinished(long version, Optional<Fault> fault) {
-            mSwapDuty.post((machine, now) -> machine.onLoaded(version, fault));
+            mSwapLoop.post((machine, now) -> machine.onLoaded(version, fault));
             mAdapter.requestState();
         }
     }
 
-    /** Hands what entries send to the duties. Thread safe. */
-    private final class Links implements PeerListener {
+    /** Posts the messages of entries to the event loops. Thread safe. */
+    private final class LinkEventForwarder implements PeerListener {
         @Override
         public void onPeerIntroduced(PeerLink peer) {
-            greet(peer);
+            sendHeartbeat(peer);
         }
 
         @Override
         public void onMessage(PeerLink peer, Message message) {
             long link = peer.number();
             if (message instanceof AttemptMessage attempt) {
-                mAttemptDuty.post((machine, now) -> machine.onMessage(link, attempt, now));
+                mAttemptLoop.post((machine, now) -> machine.onMessage(link, attempt, now));
             } else if (message instanceof ConfigMessage config) {
-                mConfigDuty.post((machine, now) -> machine.onMessage(link, config));
-            } else if (message instanceof MembershipMessage.Heartbeat beat) {
-                long version = beat.configVersion();
-                mConfigDuty.post((machine, now) -> machine.onPeerVersion(link, version));
+                mConfigLoop.post((machine, now) -> machine.onMessage(link, config));
+            } else if (message instanceof MembershipMessage.Heartbeat heartbeat) {
+                long version = heartbeat.configVersion();
+                mConfigLoop.post((machine, now) -> machine.onPeerVersion(link, version));
             } else if (message instanceof WeightMessage.LoadOrder order) {
-                mSwapDuty.post((machine, now) -> machine.onOrder(link, order));
+                mSwapLoop.post((machine, now) -> machine.onOrder(link, order));
             }
         }
 
         @Override
         public void onPeerLost(PeerLink peer) {
-            mAttemptDuty.post((machine, now) -> machine.onLinkClosed(peer.number(), now));
+            mAttemptLoop.post((machine, now) -> machine.onLinkClosed(peer.number(), now));
         }
     }
 
-    /** Carries out what the attempt duty decides. Used on its thread. */
+    /** Carries out the outputs of the attempt state machine. Used on its event loop's thread. */
     private final class AttemptEffects implements AttemptOutputs {
         @Override
         public void send(long link, AttemptMessage message) {
-            mBook.send(link, message);
+            mLinks.send(link, message);
         }
 
         @Override
@@ -371,11 +372,13 @@
         }
     }
 
-    /** Carries out what the configuration duty decides. Used on its thread. */
+    /**
+     * Carries out the outputs of the configuration state machine. Used on its event loop's thread.
+     */
     private final class ConfigEffects implements ConfigOutputs {
         @Override
         public void send(long link, ConfigMessage message) {
-            mBook.send(link, message);
+            mLinks.send(link, message);
         }
 
         @Override
@@ -384,11 +387,13 @@
         }
     }
 
-    /** Carries out what the weight duty decides. Used on its thread. */
+    /**
+     * Carries out the outputs of the weight swap state machine. Used on its event loop's thread.
+     */
     private final class SwapEffects implements SwapOutputs {
         @Override
         public void send(long link, WeightMessage message) {
-            mBook.send(link, message);
+            mLinks.send(link, message);
         }
 
         @Override
@@ -398,7 +403,7 @@
 
         @Override
         public void swapping(boolean swapping) {
-            mAttemptDuty.post((machine, now) -> machine.onSwapping(swapping, now));
+            mAttemptLoop.post((machine, now) -> machine.onSwapping(swapping, now));
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EndpointAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EndpointAdapter.java
@@ -4,19 +4,20 @@
 import org.ebonyrun.core.attempt.Job;
 
 /**
- * Talks to one kind of endpoint in its own protocol. Implementations are thread safe and never
- * block; what happens comes back through {@link EndpointListener}.
+ * Client of one kind of endpoint, which translates jobs into the endpoint's protocol.
+ * Implementations are thread safe and never block; they report results to an {@link
+ * EndpointListener}.
  */
 public interface EndpointAdapter {
-    /** Starts a job. It is written to the endpoint at most once. */
+    /** Starts a job. The request is sent to the endpoint at most once. */
     void start(AttemptId id, Job job);
 
-    /** Stops a job; no event of it follows that the attempt duty would heed. */
+    /** Cancels a job. The attempt event loop ignores any later events of the job. */
     void stop(AttemptId id);
 
-    /** Reads the endpoint's state. */
+    /** Requests the endpoint's state, which is reported later. */
     void requestState();
 
-    /** Has the endpoint load a version of the weights. */
+    /** Orders the endpoint to load a version of the weights; the result is reported later. */
     void loadWeights(long version, long fence, String source);
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EndpointListener.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EndpointListener.java
@@ -5,23 +5,27 @@
 import org.ebonyrun.base.result.Fault;
 import org.ebonyrun.base.result.FaultCode;
 
-/** Receives what an endpoint does. Called on I/O threads; must not block for long. */
+/** Receives an endpoint's responses and state. Called on I/O threads; must not block for long. */
 public interface EndpointListener {
-    /** Called for each piece of an answer; the version is zero when none was stated. */
+    /** Called for each piece of a response; the weight version is zero if it is unknown. */
     void onPiece(AttemptId id, byte[] data, int tokens, long version);
 
-    /** Called once when an answer is whole. */
+    /** Called once when a response is complete. */
     void onEnd(AttemptId id, int status, String contentType);
 
-    /** Called once when an attempt failed; tells whether a byte of it may have left. */
+    /**
+     * Called once when an attempt failed.
+     *
+     * @param sent whether a part of the request may have been sent
+     */
     void onFailure(AttemptId id, boolean sent, FaultCode code, String detail);
 
-    /** Called for each reading of the endpoint's state. */
+    /** Called each time the endpoint's state was read. */
     void onState(long version, int slots);
 
     /** Called when the endpoint's state could not be read. */
     void onUnreachable();
 
-    /** Called once for each order. */
+    /** Called once for each order to load weights; the fault is empty if it succeeded. */
     void onLoadFinished(long version, Optional<Fault> fault);
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EngineAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EngineAdapter.java
@@ -21,38 +21,40 @@
 import org.ebonyrun.ports.http.SseDataParser;
 
 /**
- * Talks to a model engine: streaming completions with server-sent events, and the engine's orders.
+ * Client of a model engine: receives completions as streams of server-sent events, and sends orders
+ * to load weights.
  *
- * <p>Thread safe. The weight version is read off each piece of the stream. A stream that ends
- * without its end mark is a failure. An engine that does not repeat the request's id in its answers
- * gets a connection for each job.
+ * <p>Thread safe. Each event of a stream carries the weight version of its tokens. A stream that
+ * ends without its end marker is a failure. If an engine does not repeat the request ID in its
+ * responses, each job uses a connection of its own.
  */
 public final class EngineAdapter implements EndpointAdapter {
     private static final long STATE_TIMEOUT_MILLIS = 1_000;
     private static final long LOAD_TIMEOUT_MILLIS = 60_000;
-    private static final String END_MARK = "[DONE]";
+    private static final String END_MARKER = "[DONE]";
     private static final String EVENT_STREAM = "text/event-stream";
     private static final String REQUEST_ID = "X-Request-Id";
 
-    private final AsyncHttpClient mCaller;
+    private final AsyncHttpClient mHttpClient;
     private final URI mBase;
-    private final EndpointListener mEvents;
+    private final EndpointListener mListener;
     private final OpenExchanges mExchanges = new OpenExchanges();
 
-    private EngineAdapter(AsyncHttpClient caller, URI base, EndpointListener events) {
-        mCaller = caller;
+    private EngineAdapter(AsyncHttpClient client, URI base, EndpointListener listener) {
+        mHttpClient = client;
         mBase = base;
-        mEvents = events;
+        mListener = listener;
     }
 
     /** Creates an adapter to the engine at {@code base}. */
-    public static EngineAdapter create(AsyncHttpClient caller, URI base, EndpointListener events) {
-        return new EngineAdapter(caller, base, events);
+    public static EngineAdapter create(
+            AsyncHttpClient client, URI base, EndpointListener listener) {
+        return new EngineAdapter(client, base, listener);
     }
 
     @Override
     public void start(AttemptId id, Job job) {
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.to(
                                 "POST",
                                 URI.create(mBase + job.path()),
@@ -66,7 +68,7 @@
                                 job.body(),
                                 Math.max(1, job.timeoutMillis()))
                         .withCorrelation(Correlation.byHeader(REQUEST_ID, id.toString()));
-        mExchanges.add(id, mCaller.send(call, new Stream(id)));
+        mExchanges.add(id, mHttpClient.send(request, new StreamReader(id)));
     }
 
     @Override
@@ -76,10 +78,10 @@
 
     @Override
     public void requestState() {
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.of("GET", URI.create(mBase + "/state"), STATE_TIMEOUT_MILLIS)
                         .withCorrelation(Correlation.byKind("state"));
-        mCaller.request(call, "engine.state").thenAccept(this::onState);
+        mHttpClient.request(request, "engine.state").thenAccept(this::onStateResult);
     }
 
     @Override
@@ -87,55 +89,56 @@
         ObjectNode order = Json.mapper().createObjectNode();
         order.put("version", version).put("fence", fence).put("source", source);
         URI uri = URI.create(mBase + "/orders/load");
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.json("POST", uri, Json.write(order), LOAD_TIMEOUT_MILLIS)
                         .withCorrelation(Correlation.byConnection());
-        mCaller.request(call, "engine.load")
+        mHttpClient
+                .request(request, "engine.load")
                 .thenAccept(
                         result ->
-                                mEvents.onLoadFinished(
-                                        version, result.fold(this::loadFault, Optional::of)));
+                                mListener.onLoadFinished(
+                                        version, result.fold(this::toLoadFault, Optional::of)));
     }
 
-    private void onState(Result<HttpResponse> result) {
+    private void onStateResult(Result<HttpResponse> result) {
         result.fold(
-                reply -> {
-                    readState(reply);
+                response -> {
+                    reportState(response);
                     return true;
                 },
                 fault -> {
-                    mEvents.onUnreachable();
+                    mListener.onUnreachable();
                     return false;
                 });
     }
 
-    private void readState(HttpResponse reply) {
+    private void reportState(HttpResponse response) {
         try {
-            JsonNode state = Json.tree(reply.body());
-            mEvents.onState(state.path("version").asLong(), state.path("slots").asInt(1));
+            JsonNode state = Json.tree(response.body());
+            mListener.onState(state.path("version").asLong(), state.path("slots").asInt(1));
         } catch (IllegalArgumentException e) {
-            mEvents.onUnreachable();
+            mListener.onUnreachable();
         }
     }
 
-    private Optional<Fault> loadFault(HttpResponse reply) {
-        if (reply.isSuccess()) {
+    private Optional<Fault> toLoadFault(HttpResponse response) {
+        if (response.isSuccess()) {
             return Optional.empty();
         }
-        String detail = "status " + reply.status() + ": " + reply.text();
+        String detail = "status " + response.status() + ": " + response.text();
         String peer = mBase.getAuthority();
         return Optional.of(Fault.failed(FaultCode.ENDPOINT_ERROR, "engine.load", peer, detail));
     }
 
-    /** Reads one completion stream. Used by one I/O thread at a time. */
-    private final class Stream implements HttpResponseListener {
+    /** Reads the event stream of one completion. Used by one I/O thread at a time. */
+    private final class StreamReader implements HttpResponseListener {
         private final AttemptId mId;
         private final SseDataParser mParser = SseDataParser.create(this::onEvent);
         private int mStatus;
-        private boolean mEndSeen;
-        private boolean mBroken;
+        private boolean mEndMarkerSeen;
+        private boolean mMalformed;
 
-        Stream(AttemptId id) {
+        StreamReader(AttemptId id) {
             mId = id;
         }
 
@@ -147,9 +150,9 @@
         @Override
         public void onData(byte[] data) {
             if (mStatus / 100 != 2) {
-                mEvents.onPiece(mId, data, 0, 0);
+                mListener.onPiece(mId, data, 0, 0);
             } else if (!mParser.feed(data)) {
-                mBroken = true;
+                mMalformed = true;
             }
         }
 
@@ -157,22 +160,23 @@
         public void onEnd() {
             mExchanges.remove(mId);
             boolean success = mStatus / 100 == 2;
-            if (success && (!mEndSeen || mBroken)) {
-                mEvents.onFailure(mId, true, FaultCode.TRUNCATED, "no end mark");
+            if (success && (!mEndMarkerSeen || mMalformed)) {
+                mListener.onFailure(
+                        mId, true, FaultCode.TRUNCATED, "malformed event stream, or no end marker");
             } else {
-                mEvents.onEnd(mId, mStatus, success ? "text/plain" : "application/json");
+                mListener.onEnd(mId, mStatus, success ? "text/plain" : "application/json");
             }
         }
 
         @Override
         public void onFailure(boolean sent, String detail) {
             mExchanges.remove(mId);
-            mEvents.onFailure(mId, sent, FaultCode.PEER_LOST, detail);
+            mListener.onFailure(mId, sent, FaultCode.PEER_LOST, detail);
         }
 
         private void onEvent(String data) {
-            if (data.equals(END_MARK)) {
-                mEndSeen = true;
+            if (data.equals(END_MARKER)) {
+                mEndMarkerSeen = true;
                 return;
             }
             try {
@@ -180,9 +184,9 @@
                 String text = event.path("choices").path(0).path("text").asText("");
                 int tokens = event.path("tokens").asInt(1);
                 long version = event.path("weight_version").asLong();
-                mEvents.onPiece(mId, text.getBytes(StandardCharsets.UTF_8), tokens, version);
+                mListener.onPiece(mId, text.getBytes(StandardCharsets.UTF_8), tokens, version);
             } catch (IllegalArgumentException e) {
-                mBroken = true;
+                mMalformed = true;
             }
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/OpenExchanges.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/OpenExchanges.java
@@ -5,7 +5,7 @@
 import org.ebonyrun.base.id.AttemptId;
 import org.ebonyrun.ports.http.HttpExchange;
 
-/** The open HTTP exchanges of an endpoint, by attempt. Thread safe. */
+/** The open HTTP exchanges with an endpoint, by attempt. Thread safe. */
 final class OpenExchanges {
     private final Map<AttemptId, HttpExchange> mOpen = new ConcurrentHashMap<>();
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/PlainAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/PlainAdapter.java
@@ -14,35 +14,35 @@
 import org.ebonyrun.ports.http.HttpResponseListener;
 
 /**
- * Talks to a plain HTTP service, which has no weights.
+ * Client of a plain HTTP service, which has no weights.
  *
- * <p>Thread safe. A service that does not repeat the request's id in its answers gets a connection
- * for each job.
+ * <p>Thread safe. If a service does not repeat the request ID in its responses, each job uses a
+ * connection of its own.
  */
 public final class PlainAdapter implements EndpointAdapter {
     private static final String REQUEST_ID = "X-Request-Id";
     private static final int SLOTS = 64;
     private static final long STATE_TIMEOUT_MILLIS = 1_000;
 
-    private final AsyncHttpClient mCaller;
+    private final AsyncHttpClient mHttpClient;
     private final URI mBase;
-    private final EndpointListener mEvents;
+    private final EndpointListener mListener;
     private final OpenExchanges mExchanges = new OpenExchanges();
 
-    private PlainAdapter(AsyncHttpClient caller, URI base, EndpointListener events) {
-        mCaller = caller;
+    private PlainAdapter(AsyncHttpClient client, URI base, EndpointListener listener) {
+        mHttpClient = client;
         mBase = base;
-        mEvents = events;
+        mListener = listener;
     }
 
     /** Creates an adapter to the service at {@code base}. */
-    public static PlainAdapter create(AsyncHttpClient caller, URI base, EndpointListener events) {
-        return new PlainAdapter(caller, base, events);
+    public static PlainAdapter create(AsyncHttpClient client, URI base, EndpointListener listener) {
+        return new PlainAdapter(client, base, listener);
     }
 
     @Override
     public void start(AttemptId id, Job job) {
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.to(
                                 "POST",
                                 URI.create(mBase + job.path()),
@@ -54,7 +54,7 @@
                                 job.body(),
                                 Math.max(1, job.timeoutMillis()))
                         .withCorrelation(Correlation.byHeader(REQUEST_ID, id.toString()));
-        mExchanges.add(id, mCaller.send(call, new Answer(id)));
+        mExchanges.add(id, mHttpClient.send(request, new ResponseReader(id)));
     }
 
     @Override
@@ -64,16 +64,17 @@
 
     @Override
     public void requestState() {
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.of("GET", URI.create(mBase + "/"), STATE_TIMEOUT_MILLIS)
                         .withCorrelation(Correlation.byKind("state"));
-        mCaller.request(call, "service.state")
+        mHttpClient
+                .request(request, "service.state")
                 .thenAccept(
                         result -> {
                             if (result.isOk()) {
-                                mEvents.onState(0, SLOTS);
+                                mListener.onState(0, SLOTS);
                             } else {
-                                mEvents.onUnreachable();
+                                mListener.onUnreachable();
                             }
                         });
     }
@@ -86,15 +87,15 @@
                         "service.load",
                         mBase.getAuthority(),
                         "a plain service has no weights");
-        mEvents.onLoadFinished(version, Optional.of(fault));
+        mListener.onLoadFinished(version, Optional.of(fault));
     }
 
-    /** Reads one answer. Used by one I/O thread at a time. */
-    private final class Answer implements HttpResponseListener {
+    /** Reads one response. Used by one I/O thread at a time. */
+    private final class ResponseReader implements HttpResponseListener {
         private final AttemptId mId;
         private int mStatus;
 
-        Answer(AttemptId id) {
+        ResponseReader(AttemptId id) {
             mId = id;
         }
 
@@ -105,19 +106,19 @@
 
         @Override
         public void onData(byte[] data) {
-            mEvents.onPiece(mId, data, 0, 0);
+            mListener.onPiece(mId, data, 0, 0);
         }
 
         @Override
         public void onEnd() {
             mExchanges.remove(mId);
-            mEvents.onEnd(mId, mStatus, "application/json");
+            mListener.onEnd(mId, mStatus, "application/json");
         }
 
         @Override
         public void onFailure(boolean sent, String detail) {
             mExchanges.remove(mId);
-            mEvents.onFailure(mId, sent, FaultCode.PEER_LOST, detail);
+            mListener.onFailure(mId, sent, FaultCode.PEER_LOST, detail);
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/package-info.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/package-info.java
@@ -1,4 +1,4 @@
-/** The endpoint role: the agent beside one endpoint. */
+/** The agent: the process beside an endpoint, in the role {@code endpoint}. */
 @NullMarked
 package org.ebonyrun.daemon.agent;
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/LinkRegistry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/LinkRegistry.java
@@ -13,33 +13,33 @@
 import org.tinylog.Logger;
 
 /**
- * Knows all links of a process and introduces it on each.
+ * Registry of all links of a process. Sends this process's {@code Hello} on each new link.
  *
- * <p>Thread safe. A message that comes before the peer's introduction closes the link.
+ * <p>Thread safe. A message that arrives before the peer's {@code Hello} closes the link.
  */
 public final class LinkRegistry implements LinkListener {
-    private final MembershipMessage.Hello mSelf;
-    private final PeerListener mEvents;
-    private final AtomicLong mNumbers = new AtomicLong();
+    private final MembershipMessage.Hello mOwnHello;
+    private final PeerListener mListener;
+    private final AtomicLong mLastNumber = new AtomicLong();
     private final Map<Link, PeerLink> mByLink = new ConcurrentHashMap<>();
     private final Map<Long, PeerLink> mByNumber = new ConcurrentHashMap<>();
 
-    private LinkRegistry(MembershipMessage.Hello self, PeerListener events) {
-        mSelf = self;
-        mEvents = events;
+    private LinkRegistry(MembershipMessage.Hello ownHello, PeerListener listener) {
+        mOwnHello = ownHello;
+        mListener = listener;
     }
 
-    /** Creates a book without links. */
-    public static LinkRegistry create(MembershipMessage.Hello self, PeerListener events) {
-        return new LinkRegistry(self, events);
+    /** Creates an empty registry. */
+    public static LinkRegistry create(MembershipMessage.Hello ownHello, PeerListener listener) {
+        return new LinkRegistry(ownHello, listener);
     }
 
     @Override
     public void onOpen(Link link) {
-        PeerLink peer = new PeerLink(mNumbers.incrementAndGet(), link);
+        PeerLink peer = new PeerLink(mLastNumber.incrementAndGet(), link);
         mByLink.put(link, peer);
         mByNumber.put(peer.number(), peer);
-        link.send(mSelf);
+        link.send(mOwnHello);
     }
 
     @Override
@@ -51,13 +51,16 @@
         if (message instanceof MembershipMessage.Hello hello) {
             if (peer.hello() == null) {
                 peer.setHello(hello);
-                mEvents.onPeerIntroduced(peer);
+                mListener.onPeerIntroduced(peer);
             }
         } else if (peer.hello() == null) {
-            Logger.warn("peer={} sent {} before hello", link.peer(), message.getClass());
+            Logger.warn(
+                    "peer={} sent {} before its hello message; closing the link",
+                    link.peer(),
+                    message.getClass());
             link.close();
         } else {
-            mEvents.onMessage(peer, message);
+            mListener.onMessage(peer, message);
         }
     }
 
@@ -69,22 +72,22 @@
         }
         mByNumber.remove(peer.number());
         if (peer.hello() != null) {
-            mEvents.onPeerLost(peer);
+            mListener.onPeerLost(peer);
         }
     }
 
-    /** Sends a message on a numbered link; returns false if it could not be sent. */
+    /** Sends a message on the link with the given number; returns false if it was not sent. */
     public boolean send(long number, Message message) {
         PeerLink peer = mByNumber.get(number);
         return peer != null && peer.link().send(message);
     }
 
-    /** Returns the link with a number, or null if it is closed. */
+    /** Returns the link with the given number, or null if it is closed. */
     public @Nullable PeerLink findByNumber(long number) {
         return mByNumber.get(number);
     }
 
-    /** Returns all introduced links. */
+    /** Returns the links whose peers have sent their {@code Hello}. */
     public Collection<PeerLink> introducedLinks() {
         return mByNumber.values().stream().filter(peer -> peer.hello() != null).toList();
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/PeerLink.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/PeerLink.java
@@ -5,9 +5,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A link with its number and, once introduced, its peer.
+ * A link with its number and, once received, the peer's {@code Hello}.
  *
- * <p>Thread safe: the peer is set once, by the I/O thread that reads the link.
+ * <p>Thread safe: the {@code Hello} is set once, by the I/O thread that reads the link.
  */
 public final class PeerLink {
     private final long mNumber;
@@ -19,7 +19,7 @@
         mLink = link;
     }
 
-    /** Returns the number of the link, unique in the process. */
+    /** Returns the number of the link, which is unique in the process. */
     public long number() {
         return mNumber;
     }
@@ -29,7 +29,7 @@
         return mLink;
     }
 
-    /** Returns who the peer says it is, or null before it has said so. */
+    /** Returns the message with which the peer identified itself, or null before it arrived. */
     public MembershipMessage.@Nullable Hello hello() {
         return mHello;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/WireTypes.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/WireTypes.java
@@ -11,9 +11,9 @@
 import org.ebonyrun.core.rollout.StepRequest;
 import org.ebonyrun.core.weights.WeightMessage;
 
-/** The messages that processes of the system exchange. Stateless and thread safe. */
+/** The message types that processes of the system exchange. Stateless and thread safe. */
 public final class WireTypes {
-    private static final List<Class<?>> FAMILIES =
+    private static final List<Class<?>> SEALED_INTERFACES =
             List.of(
                     AttemptMessage.class,
                     ConfigMessage.class,
@@ -24,11 +24,11 @@
 
     private WireTypes() {}
 
-    /** Returns a codec for all messages. */
+    /** Returns a codec for all message types. */
     public static MessageCodec codec() {
         List<Class<? extends Message>> types = new ArrayList<>();
-        for (Class<?> family : FAMILIES) {
-            for (Class<?> type : family.getPermittedSubclasses()) {
+        for (Class<?> sealedInterface : SEALED_INTERFACES) {
+            for (Class<?> type : sealedInterface.getPermittedSubclasses()) {
                 types.add(type.asSubclass(Message.class));
             }
         }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/package-info.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/link/package-info.java
@@ -1,4 +1,4 @@
-/** Links to peers: their numbers, identities and messages. */
+/** Links to peer processes: their numbers, the peers' identities and the message types. */
 @NullMarked
 package org.ebonyrun.daemon.link;
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/package-info.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon: its binary and settings. */
+/** The daemon: its main class and settings. */
 @NullMarked
 package org.ebonyrun.daemon;
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ClaimStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ClaimStore.java
@@ -14,14 +14,14 @@
 import org.ebonyrun.ports.kv.WriteOutcome;
 
 /**
- * Claims the keys of non-idempotent requests, so that a key runs at most once whichever entry gets
- * it.
+ * Claims the keys of non-idempotent requests, so that at most one request with a key runs, even if
+ * several entries receive one.
  *
  * <p>Thread safe.
  */
 public final class ClaimStore {
     private static final long TTL_MILLIS = 7 * 24 * 3_600_000L;
-    private static final long RETRY_MILLIS = 500;
+    private static final long RETRY_AFTER_MILLIS = 500;
     private static final String STEP = "claim.write";
 
     private final KeyValueStore mStore;
@@ -32,7 +32,7 @@
         mWriter = ConditionalWriter.create(store);
     }
 
-    /** Creates a store of claims. */
+    /** Creates a claim store on top of a key-value store. */
     public static ClaimStore create(KeyValueStore store) {
         return new ClaimStore(store);
     }
@@ -41,14 +41,15 @@
      * A claim that this process holds.
      *
      * @param key the key in the key-value service
-     * @param revision its revision
+     * @param revision the revision of the key
      */
     public record Claim(String key, long revision) {}
 
     /**
      * Claims a key.
      *
-     * @param nonce marks this try, so that a claim whose answer was lost is recognised
+     * @param nonce identifies this attempt, so that the claim is recognized if the response to the
+     *     write was lost
      * @return the claim, or a fault whose outcome is always {@code not-run}
      */
     public CompletableFuture<Result<Claim>> claim(ClassName className, String key, String nonce) {
@@ -64,15 +65,15 @@
                 .thenApply(
                         result ->
                                 result.fold(
-                                        outcome -> claimed(path, outcome), ClaimStore::refused));
+                                        outcome -> toClaim(path, outcome), ClaimStore::notClaimed));
     }
 
-    /** Gives a claim back whose request is known not to have run. */
+    /** Releases a claim whose request is known not to have run. */
     public void release(Claim claim) {
         mStore.delete(claim.key(), claim.revision());
     }
 
-    private static Result<Claim> claimed(String path, WriteOutcome outcome) {
+    private static Result<Claim> toClaim(String path, WriteOutcome outcome) {
         if (outcome.applied()) {
             return Result.ok(new Claim(path, outcome.revision()));
         }
@@ -81,17 +82,17 @@
                         FaultCode.ALREADY_CLAIMED,
                         STEP,
                         "",
-                        "an earlier request has this key; this one did not run"));
+                        "an earlier request claimed this key; this request did not run"));
     }
 
-    private static Result<Claim> refused(Fault fault) {
+    private static Result<Claim> notClaimed(Fault fault) {
         return Result.err(
                 new Fault(
                         FaultCode.PLATFORM_UNAVAILABLE,
                         Outcome.NOT_RUN,
                         STEP,
                         fault.peer(),
-                        "the key could not be claimed: " + fault.detail(),
-                        RETRY_MILLIS));
+                        "cannot claim the key: " + fault.detail(),
+                        RETRY_AFTER_MILLIS));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ConfigStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ConfigStore.java
@@ -13,13 +13,13 @@
 /**
  * Reads and replaces the operators' configuration in the key-value service.
  *
- * <p>Invariant: the version grows by one with each accepted change.
+ * <p>Invariant: each accepted change increases the version by one.
  *
  * <p>Thread safe.
  */
 public final class ConfigStore {
     private static final String KEY = "config/current";
-    private static final String HISTORY = "config/history/";
+    private static final String HISTORY_PREFIX = "config/history/";
     private static final String STEP = "config.write";
 
     private final KeyValueStore mStore;
@@ -30,36 +30,37 @@
         mWriter = ConditionalWriter.create(store);
     }
 
-    /** Creates a store of the configuration. */
+    /** Creates a configuration store on top of a key-value store. */
     public static ConfigStore create(KeyValueStore store) {
         return new ConfigStore(store);
     }
 
     /**
-     * The configuration and the revision of its key.
+     * The current configuration and the revision of its key.
      *
      * @param config the configuration
-     * @param revision the revision; {@link KeyValueStore#ABSENT} before the first
+     * @param revision the revision of its key; {@link KeyValueStore#ABSENT} before the first change
      */
     public record CurrentConfig(StoredConfig config, long revision) {}
 
-    /** Reads the configuration. */
+    /** Reads the current configuration. */
     public CompletableFuture<Result<CurrentConfig>> read() {
-        return mStore.get(KEY).thenApply(result -> result.map(ConfigStore::current));
+        return mStore.get(KEY).thenApply(result -> result.map(ConfigStore::toCurrent));
     }
 
-    /** Waits for a configuration after the given revision. */
+    /** Waits for a configuration that is newer than the given revision. */
     public CompletableFuture<Result<CurrentConfig>> watch(long afterRevision, long waitMillis) {
         return mStore.watch(KEY, afterRevision, waitMillis)
-                .thenApply(result -> result.map(ConfigStore::current));
+                .thenApply(result -> result.map(ConfigStore::toCurrent));
     }
 
     /**
      * Replaces the configuration if its version is still {@code expectedVersion}.
      *
-     * @param nonce marks this change, so that it is recognised after a lost answer
+     * @param nonce identifies this change, so that it is recognized if the response to the write
+     *     was lost
      * @return the stored configuration, or a fault with the outcome {@code not-run} (another change
-     *     came first) or {@code unknown}
+     *     came first, or the configuration could not be read) or {@code unknown}
      */
     public CompletableFuture<Result<StoredConfig>> replace(
             long expectedVersion, String author, String text, String nonce) {
@@ -73,12 +74,12 @@
                                                         author,
                                                         text,
                                                         nonce),
-                                        fault -> done(Result.err(notWritten(fault)))));
+                                        fault -> completed(Result.err(cannotRead(fault)))));
     }
 
     /** Reads an earlier version. */
     public CompletableFuture<Result<Optional<StoredConfig>>> readVersion(long version) {
-        return mStore.get(HISTORY + version)
+        return mStore.get(HISTORY_PREFIX + version)
                 .thenApply(
                         result ->
                                 result.map(
@@ -93,10 +94,10 @@
     private CompletableFuture<Result<StoredConfig>> replace(
             CurrentConfig current, long expectedVersion, String author, String text, String nonce) {
         if (current.config().nonces().contains(nonce)) {
-            return done(Result.ok(current.config()));
+            return completed(Result.ok(current.config()));
         }
         if (current.config().version() != expectedVersion) {
-            return done(Result.err(conflict(current.config())));
+            return completed(Result.err(conflict(current.config())));
         }
         StoredConfig next = current.config().next(author, text, nonce);
         return mWriter.put(
@@ -108,19 +109,19 @@
                 .thenCompose(
                         result ->
                                 result.fold(
-                                        outcome -> onOutcome(outcome, next),
-                                        fault -> done(Result.err(fault))));
+                                        outcome -> onWriteOutcome(outcome, next),
+                                        fault -> completed(Result.err(fault))));
     }
 
-    private CompletableFuture<Result<StoredConfig>> onOutcome(
+    private CompletableFuture<Result<StoredConfig>> onWriteOutcome(
             WriteOutcome outcome, StoredConfig next) {
         if (outcome.applied()) {
             mStore.put(
-                    HISTORY + next.version(),
+                    HISTORY_PREFIX + next.version(),
                     Json.write(next),
                     KeyValueStore.ABSENT,
                     KeyValueStore.NO_EXPIRY_MILLIS);
-            return done(Result.ok(next));
+            return completed(Result.ok(next));
         }
         return read().thenApply(
                         result -> result.flatMap(now -> Result.err(conflict(now.config()))));
@@ -128,16 +129,19 @@
 
     private static Fault conflict(StoredConfig winner) {
         String detail =
-                "version " + winner.version() + " of " + winner.author() + " is in force already";
+                "version " + winner.version() + " by " + winner.author() + " is already in force";
         return Fault.notRun(FaultCode.CONFLICT, STEP, winner.author(), detail);
     }
 
-    private static Fault notWritten(Fault fault) {
+    private static Fault cannotRead(Fault fault) {
         return Fault.notRun(
-                FaultCode.PLATFORM_UNAVAILABLE, STEP, fault.peer(), "not read: " + fault.detail());
+                FaultCode.PLATFORM_UNAVAILABLE,
+                STEP,
+                fault.peer(),
+                "cannot read the configuration: " + fault.detail());
     }
 
-    private static CurrentConfig current(Optional<KeyValueEntry> entry) {
+    private static CurrentConfig toCurrent(Optional<KeyValueEntry> entry) {
         return entry.map(
                         found ->
                                 new CurrentConfig(
@@ -146,7 +150,7 @@
                 .orElseGet(() -> new CurrentConfig(StoredConfig.none(), KeyValueStore.ABSENT));
     }
 
-    private static <T> CompletableFuture<T> done(T value) {
+    private static <T> CompletableFuture<T> completed(T value) {
         return CompletableFuture.completedFuture(value);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/FenceStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/FenceStore.java
@@ -13,15 +13,15 @@
 import org.ebonyrun.ports.kv.WriteOutcome;
 
 /**
- * Keeps the highest fence of each lease under a key that never expires. A lease's own key lapses
- * with its holder, so an agent that restarts can't learn its floor from it.
+ * Stores the highest fence of each lease under a key that never expires. The key of the lease
+ * itself expires with its holder, so a restarted agent cannot read its fence floor from it.
  *
  * <p>Invariant: a recorded fence never decreases.
  *
  * <p>Thread safe.
  */
 public final class FenceStore {
-    private static final int MAX_TRIES = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
     private final KeyValueStore mStore;
     private final ConditionalWriter mWriter;
@@ -31,37 +31,40 @@
         mWriter = ConditionalWriter.create(store);
     }
 
-    /** Creates a store of fences. */
+    /** Creates a fence store on top of a key-value store. */
     public static FenceStore create(KeyValueStore store) {
         return new FenceStore(store);
     }
 
-    /** Returns the highest fence that was recorded for a lease; zero if there is none. */
+    /** Returns the highest recorded fence of a lease; zero if there is none. */
     public CompletableFuture<Result<Long>> read(String leaseKey) {
         return mStore.get(key(leaseKey)).thenApply(result -> result.map(FenceStore::parse));
     }
 
-    /** Records a fence unless a higher one is recorded; a lease's holder acts only after that. */
+    /**
+     * Records a fence unless a higher one is recorded. The holder of the lease must not act before
+     * this has succeeded.
+     */
     public CompletableFuture<Result<Boolean>> record(String leaseKey, long fence) {
         return record(leaseKey, fence, 1);
     }
 
     private CompletableFuture<Result<Boolean>> record(String leaseKey, long fence, int attempt) {
-        if (attempt > MAX_TRIES) {
-            return done(Result.err(contended(leaseKey)));
+        if (attempt > MAX_ATTEMPTS) {
+            return completed(Result.err(contended(leaseKey)));
         }
         return mStore.get(key(leaseKey))
                 .thenCompose(
                         result ->
                                 result.fold(
                                         entry -> write(leaseKey, fence, entry, attempt),
-                                        fault -> done(Result.err(fault))));
+                                        fault -> completed(Result.err(fault))));
     }
 
     private CompletableFuture<Result<Boolean>> write(
             String leaseKey, long fence, Optional<KeyValueEntry> entry, int attempt) {
         if (parse(entry) >= fence) {
-            return done(Result.ok(true));
+            return completed(Result.ok(true));
         }
         byte[] value = Long.toString(fence).getBytes(StandardCharsets.UTF_8);
         long revision = entry.map(KeyValueEntry::revision).orElse(KeyValueStore.ABSENT);
@@ -75,12 +78,14 @@
                         result ->
                                 result.fold(
                                         outcome -> onWritten(leaseKey, fence, outcome, attempt),
-                                        fault -> done(Result.err(fault))));
+                                        fault -> completed(Result.err(fault))));
     }
 
     private CompletableFuture<Result<Boolean>> onWritten(
             String leaseKey, long fence, WriteOutcome outcome, int attempt) {
-        return outcome.applied() ? done(Result.ok(true)) : record(leaseKey, fence, attempt + 1);
+        return outcome.applied()
+                ? completed(Result.ok(true))
+                : record(leaseKey, fence, attempt + 1);
     }
 
     private static long parse(Optional<KeyValueEntry> entry) {
@@ -94,10 +99,11 @@
     }
 
     private static Fault contended(String leaseKey) {
-        return Fault.failed(FaultCode.CONFLICT, "fence.record", leaseKey, "too many writers");
+        return Fault.failed(
+                FaultCode.CONFLICT, "fence.record", leaseKey, "too many concurrent writers");
     }
 
-    private static <T> CompletableFuture<T> done(T value) {
+    private static <T> CompletableFuture<T> completed(T value) {
         return CompletableFuture.completedFuture(value);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/Json.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/Json.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.PropertyNamingStrategies;
 import java.io.IOException;
 
-/** Reads and writes JSON. Stateless and thread safe. */
+/** Converts between JSON text, objects and trees. Stateless and thread safe. */
 public final class Json {
     private static final ObjectMapper MAPPER =
             new ObjectMapper()
@@ -19,19 +19,19 @@
 
     private Json() {}
 
-    /** Returns the UTF-8 JSON text of a value. */
+    /** Returns a value as UTF-8 JSON text. */
     public static byte[] write(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("cannot write " + value.getClass(), e);
+            throw new IllegalArgumentException("cannot write JSON of " + value.getClass(), e);
         }
     }
 
     /**
-     * Reads a value.
+     * Parses a value of the given type.
      *
-     * @throws IllegalArgumentException if the text is not the JSON of such a value
+     * @throws IllegalArgumentException if the text is not valid JSON of such a value
      */
     public static <T> T read(byte[] text, Class<T> type) {
         try {
@@ -48,15 +48,15 @@
     }
 
     /**
-     * Reads a tree.
+     * Parses a tree.
      *
-     * @throws IllegalArgumentException if the text is not JSON
+     * @throws IllegalArgumentException if the text is not valid JSON
      */
     public static JsonNode tree(byte[] text) {
         return read(text, JsonNode.class);
     }
 
-    /** Returns the mapper, for callers that build trees. */
+    /** Returns the mapper, for code that builds trees. */
     public static ObjectMapper mapper() {
         return MAPPER;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/LeaseClient.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/LeaseClient.java
@@ -14,8 +14,9 @@
 import org.ebonyrun.ports.kv.WriteOutcome;
 
 /**
- * Takes and extends leases, which are keys with a time to live. The fence of a lease is recorded
- * for good before its holder hears of it.
+ * Acquires, renews and releases leases, which are keys with a time to live. The fence of an
+ * acquired lease is recorded, without expiry, before {@link #acquire} reports the lease to its
+ * holder.
  *
  * <p>Thread safe.
  */
@@ -32,12 +33,12 @@
         mSelf = self;
     }
 
-    /** Creates a client that takes leases for {@code self}. */
+    /** Creates a client that acquires leases for {@code self}. */
     public static LeaseClient create(KeyValueStore store, LeaseHolder self) {
         return new LeaseClient(store, self);
     }
 
-    /** Takes a lease if it is free, and tells who holds it now. */
+    /** Acquires a lease if it is free, and returns its current holder. */
     public CompletableFuture<Result<LeaseRecord>> acquire(String key) {
         return mWriter.put(
                         key,
@@ -54,48 +55,48 @@
                                                         Result.err(fault))));
     }
 
-    /** Extends a lease; false means that it lapsed or has another holder. */
+    /** Renews a lease; returns false if it expired or has another holder. */
     public CompletableFuture<Result<Boolean>> renew(String key, long revision) {
         return mStore.renew(key, revision, Lease.TTL_MILLIS)
                 .thenApply(result -> result.map(WriteOutcome::applied));
     }
 
-    /** Gives a lease up, so that another process can take it at once. */
+    /** Releases a lease, so that another process can acquire it at once. */
     public CompletableFuture<Result<WriteOutcome>> release(String key, long revision) {
         return mStore.delete(key, revision);
     }
 
     private CompletableFuture<Result<LeaseRecord>> onOutcome(String key, WriteOutcome outcome) {
         if (outcome.applied()) {
-            return recorded(key, new LeaseRecord(mSelf, outcome.revision()));
+            return recordFence(key, new LeaseRecord(mSelf, outcome.revision()));
         }
         return mStore.get(key)
                 .thenCompose(
                         result ->
-                                result.flatMap(entry -> reading(key, entry))
+                                result.flatMap(entry -> toRecord(key, entry))
                                         .fold(
-                                                reading -> recorded(key, reading),
+                                                lease -> recordFence(key, lease),
                                                 fault ->
                                                         CompletableFuture.completedFuture(
                                                                 Result.err(fault))));
     }
 
-    /** Records the fence if the lease is ours. */
-    private CompletableFuture<Result<LeaseRecord>> recorded(String key, LeaseRecord reading) {
-        if (!reading.holder().isSameProcess(mSelf)) {
-            return CompletableFuture.completedFuture(Result.ok(reading));
+    /** Records the fence if this process holds the lease. */
+    private CompletableFuture<Result<LeaseRecord>> recordFence(String key, LeaseRecord lease) {
+        if (!lease.holder().isSameProcess(mSelf)) {
+            return CompletableFuture.completedFuture(Result.ok(lease));
         }
-        return mFences.record(key, reading.revision())
-                .thenApply(result -> result.map(ignored -> reading));
+        return mFences.record(key, lease.revision())
+                .thenApply(result -> result.map(ignored -> lease));
     }
 
-    private static Result<LeaseRecord> reading(String key, Optional<KeyValueEntry> entry) {
+    private static Result<LeaseRecord> toRecord(String key, Optional<KeyValueEntry> entry) {
         return entry.flatMap(
                         found ->
                                 parse(found.value())
                                         .map(holder -> new LeaseRecord(holder, found.revision())))
                 .map(Result::ok)
-                .orElseGet(() -> Result.err(vanished(key)));
+                .orElseGet(() -> Result.err(expired(key)));
     }
 
     private static Optional<LeaseHolder> parse(byte[] value) {
@@ -106,8 +107,8 @@
         }
     }
 
-    private static Fault vanished(String key) {
+    private static Fault expired(String key) {
         return Fault.failed(
-                FaultCode.CONFLICT, "lease.read", key, "the lease lapsed while it was read");
+                FaultCode.CONFLICT, "lease.read", key, "the lease expired while it was read");
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ManifestStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ManifestStore.java
@@ -22,8 +22,8 @@
 import org.ebonyrun.ports.kv.KeyValueStore;
 
 /**
- * Keeps step manifests in the key-value service, compressed and cut into chunks. The head, which is
- * written last, names the content by its hash, so a manifest is either whole or absent.
+ * Stores step manifests in the key-value service, compressed and split into chunks. The head, which
+ * is written last, refers to the content by its hash, so a manifest is either complete or absent.
  *
  * <p>Thread safe.
  */
@@ -39,38 +39,41 @@
         mWriter = ConditionalWriter.create(store);
     }
 
-    /** Creates a store of manifests. */
+    /** Creates a manifest store on top of a key-value store. */
     public static ManifestStore create(KeyValueStore store) {
         return new ManifestStore(store);
     }
 
     /**
-     * The value under a step's head key.
+     * The value of a step's head key.
      *
      * @param hash the hash of the compressed manifest
      * @param chunks the number of chunks
      */
     private record Head(@JsonProperty("hash") String hash, @JsonProperty("chunks") int chunks) {}
 
-    /** Stores a manifest; it is there when the result is successful. */
+    /**
+     * Stores a manifest, which is complete once the result is successful. Fails if the step has
+     * another manifest.
+     */
     public CompletableFuture<Result<Boolean>> store(StepManifest manifest) {
         byte[] packed = compress(Json.write(manifest));
         String hash = Hashing.murmur3_128().hashBytes(packed).toString();
         List<byte[]> chunks = split(packed);
-        CompletableFuture<Result<Boolean>> done =
+        CompletableFuture<Result<Boolean>> stored =
                 CompletableFuture.completedFuture(Result.ok(true));
         for (int i = 0; i < chunks.size(); i++) {
             String key = chunkKey(manifest.trainer(), manifest.step(), hash, i);
             byte[] chunk = chunks.get(i);
-            done = done.thenCompose(before -> next(before, key, chunk));
+            stored = stored.thenCompose(previous -> putNext(previous, key, chunk));
         }
         byte[] head = Json.write(new Head(hash, chunks.size()));
         String key = headKey(manifest.trainer(), manifest.step());
-        return done.thenCompose(before -> next(before, key, head))
-                .thenApply(result -> result.flatMap(stored -> checkStored(stored, key)));
+        return stored.thenCompose(previous -> putNext(previous, key, head))
+                .thenApply(result -> result.flatMap(isStored -> checkStored(isStored, key)));
     }
 
-    /** Loads a manifest; empty if there is none. */
+    /** Loads a manifest; empty if there is none or a part of it is absent. */
     public CompletableFuture<Result<Optional<StepManifest>>> load(TrainerId trainer, long step) {
         return mStore.get(headKey(trainer, step))
                 .thenCompose(
@@ -82,7 +85,7 @@
                                                         Result.err(fault))));
     }
 
-    /** Deletes a manifest. What is left after a fault expires by itself. */
+    /** Deletes a manifest. Keys that remain after a fault expire after their time to live. */
     public void delete(TrainerId trainer, long step) {
         String key = headKey(trainer, step);
         mStore.get(key)
@@ -108,10 +111,10 @@
         return true;
     }
 
-    private CompletableFuture<Result<Boolean>> next(
-            Result<Boolean> before, String key, byte[] value) {
-        if (!before.isOk()) {
-            return CompletableFuture.completedFuture(before);
+    private CompletableFuture<Result<Boolean>> putNext(
+            Result<Boolean> previous, String key, byte[] value) {
+        if (!previous.isOk()) {
+            return CompletableFuture.completedFuture(previous);
         }
         return mWriter.put(
                         key,
@@ -126,13 +129,13 @@
                                                 outcome.applied()
                                                         ? CompletableFuture.completedFuture(
                                                                 Result.ok(true))
-                                                        : isSame(key, value),
+                                                        : holdsValue(key, value),
                                         fault ->
                                                 CompletableFuture.completedFuture(
                                                         Result.err(fault))));
     }
 
-    private CompletableFuture<Result<Boolean>> isSame(String key, byte[] value) {
+    private CompletableFuture<Result<Boolean>> holdsValue(String key, byte[] value) {
         return mStore.get(key)
                 .thenApply(
                         result ->
@@ -143,8 +146,8 @@
                                                                 entry.get().value(), value)));
     }
 
-    private static Result<Boolean> checkStored(boolean stored, String key) {
-        return stored
+    private static Result<Boolean> checkStored(boolean isStored, String key) {
+        return isStored
                 ? Result.ok(true)
                 : Result.err(
                         Fault.notRun(
@@ -209,7 +212,8 @@
         try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
             return gzip.readAllBytes();
         } catch (IOException e) {
-            throw new IllegalArgumentException("a manifest is damaged: " + e.getMessage(), e);
+            throw new IllegalArgumentException(
+                    "cannot decompress a step manifest: " + e.getMessage(), e);
         }
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/StoredConfig.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/StoredConfig.java
@@ -5,21 +5,22 @@
 import java.util.stream.Stream;
 
 /**
- * The configuration as it stands in the key-value service.
+ * The operators' configuration as stored in the key-value service.
  *
- * @param version the monotone version
- * @param author who applied it
+ * @param version the version, which increases with each change
+ * @param author the author of this version
  * @param text the YAML text
- * @param nonces marks of the newest writes, this one first
+ * @param nonces the nonces of the latest writes, newest first; they identify a write whose response
+ *     was lost
  */
 public record StoredConfig(
         @JsonProperty("version") long version,
         @JsonProperty("author") String author,
         @JsonProperty("text") String text,
         @JsonProperty("nonces") List<String> nonces) {
-    private static final int KEPT_NONCES = 64;
+    private static final int MAX_NONCES = 64;
 
-    /** Copies the marks. */
+    /** Copies the nonces. */
     public StoredConfig {
         nonces = List.copyOf(nonces);
     }
@@ -27,11 +28,11 @@
     /** Returns the configuration that replaces this one. */
     public StoredConfig next(String newAuthor, String newText, String nonce) {
         List<String> kept =
-                Stream.concat(Stream.of(nonce), nonces.stream()).limit(KEPT_NONCES).toList();
+                Stream.concat(Stream.of(nonce), nonces.stream()).limit(MAX_NONCES).toList();
         return new StoredConfig(version + 1, newAuthor, newText, kept);
     }
 
-    /** Returns the configuration before any was applied. */
+    /** Returns the initial configuration, before the first change. */
     public static StoredConfig none() {
         return new StoredConfig(0, "", "", List.of());
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/package-info.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/package-info.java
@@ -1,4 +1,4 @@
-/** What the daemon keeps in the key-value service: leases, manifests, claims, configuration. */
+/** Data in the key-value service: leases, fences, manifests, claims and configuration. */
 @NullMarked
 package org.ebonyrun.daemon.store;
 
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/DaemonSettingsTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/DaemonSettingsTest.java
@@ -25,7 +25,7 @@
             """;
 
     @Test
-    void readsAValidFile() {
+    void acceptsValidSettings() {
         DaemonSettings.Parsed parsed = DaemonSettings.parse("file", VALID);
         assertThat(parsed.problems(), empty());
         assertThat(parsed.settings().maxHeldBytes(), is(8L << 20));
@@ -47,7 +47,7 @@
                 "8MB|8|is not a size",
                 "role: endpoint|role: entry|only the role endpoint has it"
             })
-    void namesEachFault(String from, String to, String message) {
+    void reportsEachProblem(String from, String to, String message) {
         String text = VALID.replace(from, to);
         assertThat(
                 DaemonSettings.parse("file", text).problems().toString(), containsString(message));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/agent/PlainAdapterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/agent/PlainAdapterTest.java
@@ -29,36 +29,36 @@
     private static final int TIMEOUT_SECONDS = 10;
     private static final int JOBS = 6;
 
-    private AsyncHttpClient mCaller;
+    private AsyncHttpClient mHttpClient;
     private FaultInjectingEndpoint mService;
 
     @BeforeEach
     void start() throws IOException {
-        mCaller = AsyncHttpClient.start();
+        mHttpClient = AsyncHttpClient.start();
         mService = FaultInjectingEndpoint.start("i-1", 1, FaultInjector.disabled());
     }
 
     @AfterEach
     void stop() throws IOException {
-        mCaller.close();
+        mHttpClient.close();
         mService.close();
     }
 
     @ParameterizedTest
     @EnumSource(FaultInjector.Repeat.class)
-    void jobsInTurnGetTheirOwnAnswersWhenAnswersComeTwice(FaultInjector.Repeat repeat)
+    void sequentialJobsGetTheirOwnResponsesDespiteDuplicates(FaultInjector.Repeat repeat)
             throws Exception {
         mService.setFaultInjector(FaultInjector.repeating(repeat));
-        Answers answers = new Answers();
+        ResponseCollector responses = new ResponseCollector();
         URI base = URI.create("http://127.0.0.1:" + mService.address().getPort());
-        PlainAdapter adapter = PlainAdapter.create(mCaller, base, answers);
+        PlainAdapter adapter = PlainAdapter.create(mHttpClient, base, responses);
         for (int i = 1; i <= JOBS; i++) {
             AttemptId id = new AttemptId(1, i);
             String body = "job " + i;
             adapter.start(id, job(body));
 
-            String answer = answers.of(id).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-            assertThat(answer, is("200 " + body));
+            String response = responses.of(id).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            assertThat(response, is("200 " + body));
         }
     }
 
@@ -78,13 +78,14 @@
                 0);
     }
 
-    /** Collects answers. Thread safe. */
-    private static final class Answers implements EndpointListener {
+    /** Collects responses by attempt. Thread safe. */
+    private static final class ResponseCollector implements EndpointListener {
         private final Map<AttemptId, StringBuffer> mPieces = new ConcurrentHashMap<>();
-        private final Map<AttemptId, CompletableFuture<String>> mEnds = new ConcurrentHashMap<>();
+        private final Map<AttemptId, CompletableFuture<String>> mResponses =
+                new ConcurrentHashMap<>();
 
         CompletableFuture<String> of(AttemptId id) {
-            return mEnds.computeIfAbsent(id, key -> new CompletableFuture<>());
+            return mResponses.computeIfAbsent(id, key -> new CompletableFuture<>());
         }
 
         private StringBuffer pieces(AttemptId id) {
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/link/WireTypesTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/link/WireTypesTest.java
@@ -85,12 +85,12 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void survivesTheWire(Message message) {
+    void roundTripsEachMessageType(Message message) {
         assertThat(CODEC.decode(CODEC.encode(message), "peer").orThrow(), is(message));
     }
 
     @Test
-    void carriesBytes() {
+    void roundTripsBinaryData() {
         AttemptMessage.Piece piece = new AttemptMessage.Piece(ID, 3, new byte[] {0, -1, 5});
         AttemptMessage.Piece read =
                 (AttemptMessage.Piece) CODEC.decode(CODEC.encode(piece), "peer").orThrow();
@@ -99,12 +99,12 @@
     }
 
     @Property(tries = 100_000, seed = "1")
-    void neverThrowsOnHostileFrames(@ForAll byte[] frame) {
+    void neverThrowsOnArbitraryFrames(@ForAll byte[] frame) {
         CODEC.decode(frame, "peer").fold(message -> 1, fault -> 0);
     }
 
     @Test
-    void neverThrowsOnDamagedFrames() {
+    void neverThrowsOnCorruptedFrames() {
         Random random = new Random(1);
         List<byte[]> frames = messages().map(CODEC::encode).toList();
         for (int i = 0; i < 10_000; i++) {
