--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
@@ -66,7 +66,7 @@
     /** Handles a reading of the platform's list. */
     @Benchmark
     public void readList() {
-        mMembership.onList(mPeers, 0);
+        mMembership.onVmList(mPeers, 0);
     }
 
     /** Handles the report of one endpoint that has loaded its version, among all. */
@@ -89,10 +89,10 @@
         public void disconnect(VmId vm) {}
 
         @Override
-        public void heartbeat(VmId vm) {}
+        public void sendHeartbeat(VmId vm) {}
 
         @Override
-        public void usable(Peer peer, boolean usable) {}
+        public void setUsable(Peer peer, boolean usable) {}
     }
 
     /** Takes every order and does nothing. */
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EmulatedAgents.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EmulatedAgents.java
@@ -29,7 +29,8 @@
 final class EmulatedAgents implements LinkListener, AutoCloseable {
     static final String SERVICE = "models";
 
-    private static final long HEARTBEAT_MILLIS = Nanos.toMillis(HeartbeatPolicy.CHANGED_NANOS);
+    private static final long HEARTBEAT_MILLIS =
+            Nanos.toMillis(HeartbeatPolicy.CHANGED_INTERVAL_NANOS);
     private static final EndpointLoad LOAD = new EndpointLoad(8, 0, 0, 8, 0, false, false, 0);
     private static final byte[] ANSWER = "{}".getBytes(StandardCharsets.UTF_8);
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMachine.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns how many texts were offered that could not be adopted for their faults. */
-    public long rejected() {
+    public long rejectedCount() {
         return mRejected;
     }
 
@@ -53,7 +53,7 @@
         }
         mConfig = parsed.config();
         mText = text;
-        mOutputs.adopted(mConfig, text);
+        mOutputs.onConfigAdopted(mConfig, text);
     }
 
     /**
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigOutputs.java
@@ -9,5 +9,5 @@
      * Announces a newly adopted configuration to every other duty; peers hear of its version with
      * the next heartbeats.
      */
-    void adopted(OperatorConfig config, String text);
+    void onConfigAdopted(OperatorConfig config, String text);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigParser.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigParser.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.base.id.ServiceName;
 import org.ebonyrun.core.settings.Problem;
 import org.ebonyrun.core.settings.SettingsNode;
-import org.ebonyrun.core.settings.Units;
+import org.ebonyrun.core.settings.ValueParser;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -67,17 +67,17 @@
 
     private void readRoot(SettingsNode root) {
         if (!root.isPresent()) {
-            root.problem("is empty; services and classes are needed");
+            root.addProblem("is empty; services and classes are needed");
             return;
         }
         checkKeys(root, ROOT_KEYS);
         root.get("services").children().forEach(this::readService);
         root.get("classes").children().forEach(this::readClass);
         if (root.get("services").children().isEmpty()) {
-            root.get("services").problem("needs at least one service");
+            root.get("services").addProblem("needs at least one service");
         }
         if (root.get("classes").children().isEmpty()) {
-            root.get("classes").problem("needs at least one class");
+            root.get("classes").addProblem("needs at least one class");
         }
     }
 
@@ -86,7 +86,7 @@
         @Nullable ServiceName name = serviceName(node, key);
         ServiceKind kind = node.get("kind").read(ConfigParser::serviceKind, ServiceKind.PLAIN);
         if (!node.get("kind").isPresent()) {
-            node.problem("kind is missing; write engine or plain");
+            node.addProblem("kind is missing; write engine or plain");
         }
         if (name != null) {
             mServices.put(name, new ServiceSpec(name, kind));
@@ -99,17 +99,17 @@
         ClassName name = className(node, key);
         ClassKind kind = node.get("kind").read(ConfigParser::classKind, ClassKind.BACKGROUND);
         if (!node.get("kind").isPresent()) {
-            node.problem("kind is missing; write interactive, background or rollout");
+            node.addProblem("kind is missing; write interactive, background or rollout");
         }
         @Nullable ServiceSpec service = service(node.get("service"), true);
         @Nullable ServiceSpec scorer = service(node.get("scored_by"), false);
         SettingsNode lateness = node.get("lateness");
-        lateness.allow(LATENESS_KEYS);
-        double quantile = lateness.get("quantile").read(Units::quantile, 0.0);
-        long within = lateness.get("within").read(Units::millis, 0L);
-        long staleness = node.get("staleness").read(Units::versions, 0L);
-        long idle = node.get("trainer_idle").read(Units::millis, 0L);
-        boolean idempotent = node.get("idempotent").read(Units::flag, true);
+        lateness.checkKeys(LATENESS_KEYS);
+        double quantile = lateness.get("quantile").read(ValueParser::parseQuantile, 0.0);
+        long within = lateness.get("within").read(ValueParser::parseMillis, 0L);
+        long staleness = node.get("staleness").read(ValueParser::parseVersions, 0L);
+        long idle = node.get("trainer_idle").read(ValueParser::parseMillis, 0L);
+        boolean idempotent = node.get("idempotent").read(ValueParser::parseBoolean, true);
         checkTargets(node, kind, service);
         if (service != null && mProblems.size() == before) {
             mClasses.put(
@@ -134,7 +134,7 @@
             requireKey(node, "trainer_idle", "write for example '5s'");
             forbidKey(node, "lateness", "a rollout states staleness and trainer_idle");
             if (service != null && service.kind() != ServiceKind.ENGINE) {
-                node.get("service").problem("a rollout needs a service of kind engine");
+                node.get("service").addProblem("a rollout needs a service of kind engine");
             }
             return;
         }
@@ -150,13 +150,13 @@
 
     private static void requireKey(SettingsNode node, String key, String hint) {
         if (!node.get(key).isPresent()) {
-            node.get(key).problem("is missing; " + hint);
+            node.get(key).addProblem("is missing; " + hint);
         }
     }
 
     private static void forbidKey(SettingsNode node, String key, String hint) {
         if (node.get(key).isPresent()) {
-            node.get(key).problem("does not belong here; " + hint);
+            node.get(key).addProblem("does not belong here; " + hint);
         }
     }
 
@@ -165,11 +165,11 @@
                 .forEach(
                         (key, child) -> {
                             if (MECHANISM_KEYS.contains(key)) {
-                                child.problem(
+                                child.addProblem(
                                         "is decided by the system; state targets instead"
                                                 + " (lateness, staleness, trainer_idle)");
                             } else if (!allowed.contains(key)) {
-                                child.problem(
+                                child.addProblem(
                                         "unknown key; allowed here: "
                                                 + String.join(
                                                         ", ", allowed.stream().sorted().toList()));
@@ -180,14 +180,14 @@
     private @Nullable ServiceSpec service(SettingsNode node, boolean required) {
         if (!node.isPresent()) {
             if (required) {
-                node.problem("is missing; name one of the services");
+                node.addProblem("is missing; name one of the services");
             }
             return null;
         }
         @Nullable ServiceName name = serviceName(node, node.text(PLACEHOLDER));
         ServiceSpec found = name == null ? null : mServices.get(name);
         if (name != null && found == null) {
-            node.problem("no service is called '" + name + "'; known: " + mServices.keySet());
+            node.addProblem("no service is called '" + name + "'; known: " + mServices.keySet());
         }
         return found;
     }
@@ -196,7 +196,7 @@
         try {
             return ServiceName.of(text);
         } catch (IllegalArgumentException e) {
-            node.problem(String.valueOf(e.getMessage()));
+            node.addProblem(String.valueOf(e.getMessage()));
             return null;
         }
     }
@@ -205,7 +205,7 @@
         try {
             return ClassName.of(text);
         } catch (IllegalArgumentException e) {
-            node.problem(String.valueOf(e.getMessage()));
+            node.addProblem(String.valueOf(e.getMessage()));
             return ClassName.of(PLACEHOLDER);
         }
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/HeartbeatPolicy.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/HeartbeatPolicy.java
@@ -12,10 +12,10 @@
  */
 public final class HeartbeatPolicy {
     /** Least time between heartbeats whose report has changed, in nanoseconds. */
-    public static final long CHANGED_NANOS = Nanos.ofMillis(500);
+    public static final long CHANGED_INTERVAL_NANOS = Nanos.ofMillis(500);
 
     /** Time between heartbeats whose report is the same, in nanoseconds. */
-    public static final long UNCHANGED_NANOS = Nanos.ofMillis(1_000);
+    public static final long UNCHANGED_INTERVAL_NANOS = Nanos.ofMillis(1_000);
 
     private @Nullable EndpointLoad mSent;
     private long mSentAt;
@@ -24,14 +24,14 @@
     public HeartbeatPolicy() {}
 
     /** Returns whether a heartbeat is due, and if so takes it for sent. */
-    public boolean isDue(EndpointLoad load, long now) {
+    public boolean markSentIfDue(EndpointLoad load, long now) {
         EndpointLoad sent = mSent;
         boolean urgent =
                 sent == null
                         || load.leaving() != sent.leaving()
                         || load.version() != sent.version()
                         || load.slots() != sent.slots();
-        long pause = load.equals(sent) ? UNCHANGED_NANOS : CHANGED_NANOS;
+        long pause = load.equals(sent) ? UNCHANGED_INTERVAL_NANOS : CHANGED_INTERVAL_NANOS;
         if (!urgent && now - mSentAt < pause) {
             return false;
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMachine.java
@@ -28,10 +28,10 @@
  */
 public final class MembershipMachine implements Ticking {
     /** Silence after which a peer gets no new work, in nanoseconds. */
-    public static final long SUSPECT_NANOS = Nanos.ofMillis(3_000);
+    public static final long SUSPECT_TIMEOUT_NANOS = Nanos.ofMillis(3_000);
 
     /** Silence after which a link is closed, in nanoseconds. */
-    public static final long LOST_NANOS = Nanos.ofMillis(10_000);
+    public static final long LOST_TIMEOUT_NANOS = Nanos.ofMillis(10_000);
 
     private static final long RETIRE_NANOS = Nanos.ofMillis(600_000);
     private static final long NEVER = Long.MAX_VALUE;
@@ -104,7 +104,7 @@
     }
 
     /** Handles a fresh reading of the platform's list. */
-    public void onList(List<Peer> peers, long now) {
+    public void onVmList(List<Peer> peers, long now) {
         if (peers.equals(mLastList)) {
             onTick(now);
             return;
@@ -191,7 +191,7 @@
      *
      * @param leaving whether the peer says that it is leaving
      */
-    public void onHeard(VmId vm, boolean leaving, long now) {
+    public void onMessageReceived(VmId vm, boolean leaving, long now) {
         Tracked tracked = mTracked.get(vm);
         if (tracked != null) {
             tracked.mHeardAt = now;
@@ -225,7 +225,7 @@
     }
 
     /** Returns the number of VMs in the newest list. */
-    public int listed() {
+    public int listedCount() {
         return mLastList.size();
     }
 
@@ -260,7 +260,7 @@
 
     private void tick(Tracked tracked, long now) {
         VmId vm = tracked.mPeer.vm();
-        boolean silent = now - tracked.mHeardAt >= LOST_NANOS;
+        boolean silent = now - tracked.mHeardAt >= LOST_TIMEOUT_NANOS;
         boolean retired = tracked.mRetiredAt != NEVER && now - tracked.mRetiredAt >= RETIRE_NANOS;
         if (tracked.mLink == LinkState.OPEN && (silent || retired)) {
             mOutputs.disconnect(vm);
@@ -280,7 +280,7 @@
         }
         if (tracked.mLink == LinkState.OPEN && now - tracked.mNextHeartbeat >= 0) {
             tracked.mNextHeartbeat = now + HEARTBEAT_NANOS;
-            mOutputs.heartbeat(vm);
+            mOutputs.sendHeartbeat(vm);
         }
         refresh(tracked, now);
     }
@@ -291,7 +291,7 @@
     }
 
     private void refresh(Tracked tracked, long now) {
-        boolean heard = now - tracked.mHeardAt < SUSPECT_NANOS;
+        boolean heard = now - tracked.mHeardAt < SUSPECT_TIMEOUT_NANOS;
         boolean leaving =
                 tracked.mLeavingSaid || tracked.mPeer.leaving() || tracked.mRetiredAt != NEVER;
         setUsable(tracked, tracked.mLink == LinkState.OPEN && heard && !leaving);
@@ -300,7 +300,7 @@
     private void setUsable(Tracked tracked, boolean usable) {
         if (tracked.mUsable != usable) {
             tracked.mUsable = usable;
-            mOutputs.usable(tracked.mPeer, usable);
+            mOutputs.setUsable(tracked.mPeer, usable);
         }
     }
 
@@ -309,7 +309,7 @@
     }
 
     /** Returns the record of a peer, or null if it is not connected to. */
-    public @Nullable Peer peer(VmId vm) {
+    public @Nullable Peer findPeer(VmId vm) {
         Tracked tracked = mTracked.get(vm);
         return tracked == null ? null : tracked.mPeer;
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipOutputs.java
@@ -11,8 +11,8 @@
     void disconnect(VmId vm);
 
     /** Sends a heartbeat to a connected peer. */
-    void heartbeat(VmId vm);
+    void sendHeartbeat(VmId vm);
 
     /** Tells whether the peer may get new work. */
-    void usable(Peer peer, boolean usable);
+    void setUsable(Peer peer, boolean usable);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/TargetMonitor.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/TargetMonitor.java
@@ -117,12 +117,12 @@
         long refused = newer.mRefused + older.mRefused;
         long calls = answered + refused + newer.mFailed + older.mFailed;
         double share = answered == 0 ? 1 : (double) inTime / answered;
-        boolean met = share >= spec.latenessQuantile() && refused == 0;
+        boolean met = share >= spec.targetQuantile() && refused == 0;
         return new ClassStatus(
                 spec.name(),
                 calls,
                 answered == 0 ? "-" : percent(share),
-                percent(spec.latenessQuantile()) + " within " + spec.latenessMillis() + " ms",
+                percent(spec.targetQuantile()) + " within " + spec.targetLatencyMillis() + " ms",
                 refused,
                 met ? "" : shortfall(spec, refused, answered, endpoints));
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/SettingsNode.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/SettingsNode.java
@@ -71,7 +71,7 @@
     }
 
     /** Adds a problem at this value; the same problem is added once. */
-    public void problem(String message) {
+    public void addProblem(String message) {
         Problem problem = new Problem(mFile, mLine, mPath, message);
         if (!mProblems.contains(problem)) {
             mProblems.add(problem);
@@ -91,7 +91,7 @@
             return children;
         }
         if (!(mNode instanceof MappingNode mapping)) {
-            problem("must be a mapping");
+            addProblem("must be a mapping");
             return children;
         }
         for (NodeTuple tuple : mapping.getValue()) {
@@ -100,7 +100,7 @@
             Node value = tuple.getValueNode();
             SettingsNode child = new SettingsNode(mFile, join(key), value, line, mProblems);
             if (children.put(key, child) != null) {
-                child.problem("is given twice");
+                child.addProblem("is given twice");
             }
         }
         return children;
@@ -116,26 +116,26 @@
                 items.add(new SettingsNode(mFile, path, item, line, mProblems));
             }
         } else if (mNode != null) {
-            problem("must be a list");
+            addProblem("must be a list");
         }
         return items;
     }
 
     /** Adds a problem for every key that is not allowed. */
-    public void allow(Set<String> keys) {
+    public void checkKeys(Set<String> keys) {
         children()
                 .forEach(
                         (key, child) -> {
                             if (!keys.contains(key)) {
-                                child.problem("unknown key; allowed here: " + sorted(keys));
+                                child.addProblem("unknown key; allowed here: " + sorted(keys));
                             }
                         });
     }
 
     /** Returns the text of a scalar; a problem, and the fallback, if it is absent. */
-    public String required(String fallback) {
+    public String requireText(String fallback) {
         if (mNode == null) {
-            problem("is missing");
+            addProblem("is missing");
             return fallback;
         }
         return text(fallback);
@@ -147,7 +147,7 @@
             return scalar.getValue();
         }
         if (mNode != null) {
-            problem("must be a single value");
+            addProblem("must be a single value");
         }
         return fallback;
     }
@@ -164,7 +164,7 @@
         try {
             return read.apply(text);
         } catch (IllegalArgumentException e) {
-            problem(String.valueOf(e.getMessage()));
+            addProblem(String.valueOf(e.getMessage()));
             return fallback;
         }
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/Units.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/ValueParser.java
@@ -6,20 +6,20 @@
 import java.util.regex.Pattern;
 
 /** Reads values that carry their unit. Stateless and thread safe. */
-public final class Units {
+public final class ValueParser {
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9})\\s*(ms|s|min|h)");
     private static final Pattern VERSIONS = Pattern.compile("(\\d{1,6})\\s*versions?");
     private static final Pattern SIZE = Pattern.compile("(\\d{1,9})\\s*(KB|MB|GB)");
     private static final Pattern COUNT = Pattern.compile("\\d{1,9}");
 
-    private Units() {}
+    private ValueParser() {}
 
     /**
      * Reads a duration such as {@code 200ms} and returns milliseconds.
      *
      * @throws IllegalArgumentException if the text is not a number and a unit
      */
-    public static long millis(String text) {
+    public static long parseMillis(String text) {
         Matcher m = DURATION.matcher(text.strip());
         checkArgument(m.matches(), "'%s' is not a duration; write for example 200ms or 5s", text);
         long n = Long.parseLong(m.group(1));
@@ -36,7 +36,7 @@
      *
      * @throws IllegalArgumentException if the text is not a number and the unit
      */
-    public static long versions(String text) {
+    public static long parseVersions(String text) {
         Matcher m = VERSIONS.matcher(text.strip());
         checkArgument(m.matches(), "'%s' is not a number of versions; write '4 versions'", text);
         return Long.parseLong(m.group(1));
@@ -47,7 +47,7 @@
      *
      * @throws IllegalArgumentException if the text is not a number and a unit
      */
-    public static long bytes(String text) {
+    public static long parseBytes(String text) {
         Matcher m = SIZE.matcher(text.strip());
         checkArgument(m.matches(), "'%s' is not a size; write for example 64MB", text);
         long n = Long.parseLong(m.group(1));
@@ -63,7 +63,7 @@
      *
      * @throws IllegalArgumentException if the text is not a whole number
      */
-    public static int count(String text) {
+    public static int parseCount(String text) {
         checkArgument(COUNT.matcher(text.strip()).matches(), "'%s' is not a whole number", text);
         return Integer.parseInt(text.strip());
     }
@@ -73,7 +73,7 @@
      *
      * @throws IllegalArgumentException if the text is no such number
      */
-    public static double quantile(String text) {
+    public static double parseQuantile(String text) {
         double q = parseDouble(text);
         checkArgument(q > 0 && q < 1, "'%s' is not a quantile; write for example 0.99", text);
         return q;
@@ -84,7 +84,7 @@
      *
      * @throws IllegalArgumentException for any other text
      */
-    public static boolean flag(String text) {
+    public static boolean parseBoolean(String text) {
         checkArgument(
                 text.equals("true") || text.equals("false"), "'%s' is not true or false", text);
         return text.equals("true");
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/config/ConfigMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/config/ConfigMachineTest.java
@@ -24,7 +24,7 @@
                         }
 
                         @Override
-                        public void adopted(OperatorConfig config, String text) {
+                        public void onConfigAdopted(OperatorConfig config, String text) {
                             mAdopted.add(config.version());
                         }
                     });
@@ -58,6 +58,6 @@
     void adoptsNoTextWithFaults() {
         mMachine.onConfig(1, "services: 3");
         assertThat(mMachine.config().version(), is(0L));
-        assertThat(mMachine.rejected(), is(1L));
+        assertThat(mMachine.rejectedCount(), is(1L));
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/HeartbeatPolicyTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/HeartbeatPolicyTest.java
@@ -14,7 +14,7 @@
 
     @BeforeEach
     void sendOne() {
-        assertThat(mPolicy.isDue(load(2, 1, false), 0), is(true));
+        assertThat(mPolicy.markSentIfDue(load(2, 1, false), 0), is(true));
     }
 
     @ParameterizedTest
@@ -28,7 +28,8 @@
     })
     void sendsChangesSoonAndTheRestSeldom(
             int running, long version, boolean leaving, long millis, boolean due) {
-        boolean sent = mPolicy.isDue(load(running, version, leaving), Nanos.ofMillis(millis));
+        boolean sent =
+                mPolicy.markSentIfDue(load(running, version, leaving), Nanos.ofMillis(millis));
         assertThat(sent, is(due));
     }
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/MembershipMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/MembershipMachineTest.java
@@ -38,17 +38,17 @@
                         }
 
                         @Override
-                        public void heartbeat(VmId vm) {}
+                        public void sendHeartbeat(VmId vm) {}
 
                         @Override
-                        public void usable(Peer peer, boolean usable) {
+                        public void setUsable(Peer peer, boolean usable) {
                             mActions.add(usable ? "usable" : "unusable");
                         }
                     });
 
     @BeforeEach
     void connectOne() {
-        mMachine.onList(List.of(peer(false)), 0);
+        mMachine.onVmList(List.of(peer(false)), 0);
         mMachine.onConnected(VM, 0);
         assertThat(mActions, contains("connect", "usable"));
         mActions.clear();
@@ -58,7 +58,7 @@
     void aSilentPeerGetsNoNewWorkAndLosesItsLinkLater() {
         mMachine.onTick(3 * SECOND);
         assertThat(mActions, contains("unusable"));
-        mMachine.onHeard(VM, false, 3 * SECOND);
+        mMachine.onMessageReceived(VM, false, 3 * SECOND);
         assertThat(mActions, contains("unusable", "usable"));
         mActions.clear();
         mMachine.onTick(13 * SECOND);
@@ -67,26 +67,26 @@
 
     @Test
     void aPeerThatSaysItLeavesGetsNoNewWork() {
-        mMachine.onHeard(VM, true, SECOND);
-        mMachine.onHeard(VM, false, SECOND);
+        mMachine.onMessageReceived(VM, true, SECOND);
+        mMachine.onMessageReceived(VM, false, SECOND);
         assertThat(mActions, contains("unusable"));
     }
 
     @Test
     void aPeerThatTheListCallsLeavingGetsNoNewWork() {
-        mMachine.onList(List.of(peer(true)), SECOND);
+        mMachine.onVmList(List.of(peer(true)), SECOND);
         assertThat(mActions, contains("unusable"));
     }
 
     @Test
     void aPeerThatTheListDropsStaysWhileItIsHeard() {
-        mMachine.onList(List.of(), SECOND);
-        mMachine.onHeard(VM, false, SECOND);
+        mMachine.onVmList(List.of(), SECOND);
+        mMachine.onMessageReceived(VM, false, SECOND);
         assertThat(mActions, empty());
-        assertThat(mMachine.peer(VM) != null, is(true));
+        assertThat(mMachine.findPeer(VM) != null, is(true));
         mMachine.onDisconnected(VM, 2 * SECOND);
         mMachine.onTick(3 * SECOND);
-        assertThat(mMachine.peer(VM) == null, is(true));
+        assertThat(mMachine.findPeer(VM) == null, is(true));
     }
 
     @Test
@@ -113,11 +113,11 @@
     void anEndpointAssignedToOtherEntriesGetsNoNewWorkAndItsLinkEnds() {
         List<Peer> list = fleet(200, 400);
         list.add(peer(false));
-        mMachine.onList(list, SECOND);
+        mMachine.onVmList(list, SECOND);
         assertThat(mActions.contains("unusable"), is(true));
         assertThat(mActions.contains("disconnect"), is(false));
         for (long second = 2; second < 602; second++) {
-            mMachine.onHeard(VM, false, second * SECOND);
+            mMachine.onMessageReceived(VM, false, second * SECOND);
             mMachine.onTick(second * SECOND);
         }
         assertThat(mActions.contains("disconnect"), is(true));
@@ -125,7 +125,7 @@
 
     @Test
     void everyEntryReachesASmallServiceOfALargeFleet() {
-        mMachine.onList(fleet(400, 3), SECOND);
+        mMachine.onVmList(fleet(400, 3), SECOND);
         long endpoints =
                 mMachine.dump(SECOND).stream().filter(p -> p.service().equals("models")).count();
         assertThat(endpoints, is(4L));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonSettings.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.core.settings.Problem;
 import org.ebonyrun.core.settings.SettingsNode;
-import org.ebonyrun.core.settings.Units;
+import org.ebonyrun.core.settings.ValueParser;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -82,7 +82,7 @@
                 throw new IllegalArgumentException(
                         "'" + text + "' is not an address; write for example 10.0.0.5:7100");
             }
-            int port = Units.count(text.substring(colon + 1));
+            int port = ValueParser.parseCount(text.substring(colon + 1));
             if (port > 65_535) {
                 throw new IllegalArgumentException("port " + port + " is above 65535");
             }
@@ -117,15 +117,15 @@
         List<Problem> problems = new ArrayList<>();
         SettingsNode root = SettingsNode.parse(file, text, problems);
         if (problems.isEmpty() && !root.isPresent()) {
-            root.problem("is empty; role, vm, failure_domain, listen and platform are needed");
+            root.addProblem("is empty; role, vm, failure_domain, listen and platform are needed");
         }
-        root.allow(ROOT_KEYS);
-        String role = root.get("role").required(ROLE_ENTRY);
+        root.checkKeys(ROOT_KEYS);
+        String role = root.get("role").requireText(ROLE_ENTRY);
         if (!role.equals(ROLE_ENTRY) && !role.equals(ROLE_ENDPOINT)) {
-            root.get("role").problem("'" + role + "' is not a role; write entry or endpoint");
+            root.get("role").addProblem("'" + role + "' is not a role; write entry or endpoint");
         }
         SettingsNode limits = root.get("limits");
-        limits.allow(LIMIT_KEYS);
+        limits.checkKeys(LIMIT_KEYS);
         SettingsNode endpoint = root.get("endpoint");
         boolean atEndpoint = role.equals(ROLE_ENDPOINT);
         checkEndpoint(endpoint, atEndpoint);
@@ -151,31 +151,34 @@
                         (int)
                                 (long)
                                         limits.get("body")
-                                                .read(Units::bytes, (long) DEFAULT_BODY_BYTES),
-                        limits.get("held_samples").read(Units::bytes, DEFAULT_HELD_BYTES),
+                                                .read(
+                                                        ValueParser::parseBytes,
+                                                        (long) DEFAULT_BODY_BYTES),
+                        limits.get("held_samples")
+                                .read(ValueParser::parseBytes, DEFAULT_HELD_BYTES),
                         limits.get("entries_per_endpoint")
-                                .read(Units::count, DEFAULT_ENTRIES_PER_ENDPOINT),
-                        limits.get("drain").read(Units::millis, DEFAULT_DRAIN_MILLIS));
-        root.get("listen").allow(Set.of("link", "http"));
+                                .read(ValueParser::parseCount, DEFAULT_ENTRIES_PER_ENDPOINT),
+                        limits.get("drain").read(ValueParser::parseMillis, DEFAULT_DRAIN_MILLIS));
+        root.get("listen").checkKeys(Set.of("link", "http"));
         return new Parsed(settings, List.copyOf(problems));
     }
 
     private static void checkEndpoint(SettingsNode endpoint, boolean atEndpoint) {
         if (!atEndpoint) {
             if (endpoint.isPresent()) {
-                endpoint.problem("does not belong here; only the role endpoint has it");
+                endpoint.addProblem("does not belong here; only the role endpoint has it");
             }
             return;
         }
-        endpoint.allow(Set.of("service", "kind", "address"));
-        String kind = endpoint.get("kind").required("engine");
+        endpoint.checkKeys(Set.of("service", "kind", "address"));
+        String kind = endpoint.get("kind").requireText("engine");
         if (!kind.equals("engine") && !kind.equals("plain")) {
-            endpoint.get("kind").problem("'" + kind + "' is not a kind; write engine or plain");
+            endpoint.get("kind").addProblem("'" + kind + "' is not a kind; write engine or plain");
         }
     }
 
     private static PlatformAddresses readPlatform(SettingsNode node) {
-        node.allow(Set.of("key_value", "vms", "weights"));
+        node.checkKeys(Set.of("key_value", "vms", "weights"));
         return new PlatformAddresses(
                 readUri(node.get("key_value")),
                 readUri(node.get("vms")),
@@ -201,7 +204,7 @@
 
     private static <T> T readRequired(SettingsNode node, Function<String, T> parser, T fallback) {
         if (!node.isPresent()) {
-            node.problem("is missing");
+            node.addProblem("is missing");
         }
         return node.read(parser, fallback);
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
@@ -112,9 +112,9 @@
                         INITIAL_SLOTS, AttemptLimits.DEFAULT_QUEUED, settings.maxHeldBytes());
         mAttempts =
                 AttemptMachine.create(
-                        settings.vm(), limits, AttemptPolicy.standard(), new AttemptEffects());
-        mConfig = ConfigMachine.create(new ConfigEffects());
-        mSwap = SwapMachine.create(settings.vm(), new SwapEffects());
+                        settings.vm(), limits, AttemptPolicy.standard(), new AttemptHandler());
+        mConfig = ConfigMachine.create(new ConfigHandler());
+        mSwap = SwapMachine.create(settings.vm(), new SwapHandler());
         mAttemptLoop =
                 EventLoop.start(
                         "attempt", RING, StateMachineHandler.of(mAttempts), clock, TICK_NANOS);
@@ -249,7 +249,7 @@
         mAttemptLoop.offer(
                 (machine, now) -> {
                     EndpointLoad load = machine.load(now);
-                    if (mHeartbeats.isDue(load, now)) {
+                    if (mHeartbeats.markSentIfDue(load, now)) {
                         Message heartbeat = new MembershipMessage.Heartbeat(mConfigVersion, load);
                         mLinks.introducedLinks().forEach(peer -> peer.link().send(heartbeat));
                     }
@@ -355,7 +355,7 @@
     }
 
     /** Carries out the outputs of the attempt state machine. Used on its event loop's thread. */
-    private final class AttemptEffects implements AttemptOutputs {
+    private final class AttemptHandler implements AttemptOutputs {
         @Override
         public void send(long link, AttemptMessage message) {
             mLinks.send(link, message);
@@ -375,14 +375,14 @@
     /**
      * Carries out the outputs of the configuration state machine. Used on its event loop's thread.
      */
-    private final class ConfigEffects implements ConfigOutputs {
+    private final class ConfigHandler implements ConfigOutputs {
         @Override
         public void send(long link, ConfigMessage message) {
             mLinks.send(link, message);
         }
 
         @Override
-        public void adopted(OperatorConfig config, String text) {
+        public void onConfigAdopted(OperatorConfig config, String text) {
             mConfigVersion = config.version();
         }
     }
@@ -390,7 +390,7 @@
     /**
      * Carries out the outputs of the weight swap state machine. Used on its event loop's thread.
      */
-    private final class SwapEffects implements SwapOutputs {
+    private final class SwapHandler implements SwapOutputs {
         @Override
         public void send(long link, WeightMessage message) {
             mLinks.send(link, message);
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
@@ -51,7 +51,7 @@
                     return true;
                 },
                 fault -> {
-                    Faults.send(out, fault);
+                    FaultResponses.send(out, fault);
                     return false;
                 });
     }
@@ -72,7 +72,7 @@
         if (!request.getMethod().getMethodString().equals("POST")) {
             return refuse(FaultCode.BAD_REQUEST, "use POST");
         }
-        OperatorConfig config = mContext.mCurrent;
+        OperatorConfig config = mContext.mCurrentConfig;
         if (config.version() == 0) {
             return refuse(FaultCode.PLATFORM_UNAVAILABLE, "no configuration is known yet");
         }
@@ -82,7 +82,7 @@
             return refuse(FaultCode.NOT_FOUND, "no class for calls is called '" + name + "'");
         }
         String type = request.getContentType();
-        if (type == null || !type.startsWith(Faults.JSON)) {
+        if (type == null || !type.startsWith(FaultResponses.JSON_CONTENT_TYPE)) {
             return refuse(FaultCode.UNSUPPORTED_TYPE, "the content type must be application/json");
         }
         String idempotent = request.getHeader(IDEMPOTENT_HEADER);
@@ -108,7 +108,7 @@
                         idempotent == null ? spec.idempotent() : idempotent.equals("true"),
                         Optional.ofNullable(key),
                         engine ? COMPLETIONS : path == null ? "/" : path,
-                        Faults.JSON));
+                        FaultResponses.JSON_CONTENT_TYPE));
     }
 
     private static Optional<ClassSpec> classSpec(OperatorConfig config, String name) {
@@ -120,7 +120,7 @@
     }
 
     private void readBody(Request request, CallHead head, long arrival, Responder out) {
-        Bodies.read(
+        RequestBodies.read(
                 mContext.mTimer,
                 request,
                 mContext.mSettings.maxBodyBytes(),
@@ -131,20 +131,20 @@
                                     return true;
                                 },
                                 fault -> {
-                                    Faults.send(out, fault);
+                                    FaultResponses.send(out, fault);
                                     return false;
                                 }));
     }
 
     private void prepare(CallHead head, byte[] body, long arrival, Responder out) {
-        Completions.CallBody call;
+        CompletionsCodec.EngineRequest call;
         try {
             call =
                     head.engine()
-                            ? Completions.callBody(body)
-                            : new Completions.CallBody(checkedJson(body), false);
+                            ? CompletionsCodec.toEngineRequest(body)
+                            : new CompletionsCodec.EngineRequest(checkedJson(body), false);
         } catch (IllegalArgumentException e) {
-            Faults.send(out, notRun(FaultCode.BAD_REQUEST, String.valueOf(e.getMessage())));
+            FaultResponses.send(out, notRun(FaultCode.BAD_REQUEST, String.valueOf(e.getMessage())));
             return;
         }
         Work work = work(head, call.body(), call.streaming(), arrival);
@@ -158,7 +158,7 @@
     /** Claims the key of a non-idempotent call before anything of it is sent. */
     private void claim(CallHead head, Work work, long arrival, Responder out) {
         String nonce = HexFormat.of().toHexDigits(ThreadLocalRandom.current().nextLong());
-        mContext.mClaims
+        mContext.mClaimStore
                 .claim(head.spec().name(), head.key().orElseThrow(), nonce)
                 .thenAccept(
                         result ->
@@ -175,30 +175,31 @@
                                             return true;
                                         },
                                         fault -> {
-                                            Faults.send(out, fault);
+                                            FaultResponses.send(out, fault);
                                             return false;
                                         }));
     }
 
     private void submit(HttpCallSink sink, Work work) {
-        mContext.mSinks.put(work.id(), sink);
-        if (!mContext.mDispatchDuty.offer((machine, now) -> machine.submit(work, now))) {
-            mContext.mSinks.remove(work.id());
+        mContext.mCallListeners.put(work.id(), sink);
+        if (!mContext.mDispatchLoop.offer((machine, now) -> machine.submit(work, now))) {
+            mContext.mCallListeners.remove(work.id());
             sink.onFault(notRun(FaultCode.OVERLOADED, "the entry is overloaded"));
         }
     }
 
     private Work work(CallHead head, byte[] body, boolean streaming, long arrival) {
         ClassSpec spec = head.spec();
-        long timeout = Math.max(MIN_TIMEOUT_MILLIS, spec.latenessMillis() * TIMEOUT_PER_TARGET);
+        long timeout =
+                Math.max(MIN_TIMEOUT_MILLIS, spec.targetLatencyMillis() * TIMEOUT_PER_TARGET);
         return new Work(
                 mContext.mWorkIds.incrementAndGet(),
                 WorkKind.CALL,
                 spec.service(),
                 spec.name(),
-                spec.latenessQuantile(),
+                spec.targetQuantile(),
                 arrival,
-                arrival + Nanos.ofMillis(spec.latenessMillis()),
+                arrival + Nanos.ofMillis(spec.targetLatencyMillis()),
                 arrival + Nanos.ofMillis(timeout),
                 head.idempotent(),
                 streaming,
@@ -225,7 +226,7 @@
     }
 
     /** Writes the answer of one call. Used on the dispatch duty. */
-    private final class HttpCallSink implements CallSink {
+    private final class HttpCallSink implements CallListener {
         private static final String EVENT_STREAM = "text/event-stream";
 
         private final ClassSpec mSpec;
@@ -250,40 +251,44 @@
         @Override
         public void onPiece(byte[] data) {
             mOut.begin(200, EVENT_STREAM);
-            mOut.sendPart(Completions.piece(data));
+            mOut.sendPart(CompletionsCodec.encodePieceEvent(data));
         }
 
         @Override
         public void onAnswer(Work work, Answer answer) {
             long nanos = System.nanoTime() - mArrival;
-            boolean inTime = nanos <= Nanos.ofMillis(mSpec.latenessMillis());
+            boolean inTime = nanos <= Nanos.ofMillis(mSpec.targetLatencyMillis());
             mContext.mMetrics.recordAnsweredCall(
                     mSpec.name().value(), (double) nanos / Nanos.PER_SECOND, inTime);
             boolean success = answer.status() / 100 == 2;
             if (work.streaming() && success) {
                 mOut.begin(200, EVENT_STREAM);
-                mOut.sendPart(Completions.end(answer));
+                mOut.sendPart(CompletionsCodec.encodeEndEvents(answer));
                 mOut.end();
                 return;
             }
             mOut.setHeader("Ebonyrun-Endpoint", answer.vm().value());
-            byte[] body = mEngine && success ? Completions.whole(answer) : answer.body();
-            mOut.sendWhole(answer.status(), mEngine ? Faults.JSON : answer.contentType(), body);
+            byte[] body =
+                    mEngine && success ? CompletionsCodec.encodeResponse(answer) : answer.body();
+            mOut.sendWhole(
+                    answer.status(),
+                    mEngine ? FaultResponses.JSON_CONTENT_TYPE : answer.contentType(),
+                    body);
         }
 
         @Override
         public void onFault(Fault fault) {
             mContext.mMetrics.recordFailedCall(mSpec.name().value(), fault.code().wireName());
             if (mClaim != null && fault.isNotRun()) {
-                mContext.mClaims.release(mClaim);
+                mContext.mClaimStore.release(mClaim);
             }
             if (mOut.isStarted()) {
-                String json = new String(Faults.json(fault), StandardCharsets.UTF_8);
+                String json = new String(FaultResponses.toJson(fault), StandardCharsets.UTF_8);
                 mOut.sendPart("event: error\ndata: " + json + "\n\n");
                 mOut.end();
                 return;
             }
-            Faults.send(mOut, fault);
+            FaultResponses.send(mOut, fault);
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallSink.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallListener.java
@@ -5,7 +5,7 @@
 import org.ebonyrun.core.routing.Work;
 
 /** Receives what becomes of one call. Called on the dispatch duty; must not block. */
-interface CallSink {
+interface CallListener {
     /** Called for each piece of a streaming answer. */
     void onPiece(byte[] data);
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/Completions.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CompletionsCodec.java
@@ -9,11 +9,11 @@
 import org.ebonyrun.daemon.store.Json;
 
 /** Reads and writes the JSON of the completions interface. Stateless and thread safe. */
-final class Completions {
-    private Completions() {}
+final class CompletionsCodec {
+    private CompletionsCodec() {}
 
     /** Returns the request body for one sample of a group. */
-    static byte[] sampleBody(PromptGroup group) {
+    static byte[] encodeSampleRequest(PromptGroup group) {
         ObjectNode body = Json.mapper().createObjectNode();
         body.put("prompt", group.prompt());
         body.put("max_tokens", group.maxTokens());
@@ -28,14 +28,14 @@
      * @param body the body to send
      * @param streaming whether the caller asked for a streaming answer
      */
-    record CallBody(byte[] body, boolean streaming) {}
+    record EngineRequest(byte[] body, boolean streaming) {}
 
     /**
      * Reads a caller's request.
      *
      * @throws IllegalArgumentException if it is not a JSON object with a prompt
      */
-    static CallBody callBody(byte[] request) {
+    static EngineRequest toEngineRequest(byte[] request) {
         JsonNode tree = Json.tree(request);
         if (!(tree instanceof ObjectNode body)) {
             throw new IllegalArgumentException("the body must be a JSON object");
@@ -50,11 +50,11 @@
         boolean streaming = body.path("stream").asBoolean(false);
         body.put("stream", true);
         body.put("priority", "call");
-        return new CallBody(Json.write(body), streaming);
+        return new EngineRequest(Json.write(body), streaming);
     }
 
     /** Returns the whole answer to a call that is not streaming. */
-    static byte[] whole(Answer answer) {
+    static byte[] encodeResponse(Answer answer) {
         ObjectNode body = Json.mapper().createObjectNode();
         body.put("object", "text_completion");
         ObjectNode choice = body.putArray("choices").addObject();
@@ -66,7 +66,7 @@
     }
 
     /** Returns the event for one piece of a streaming answer. */
-    static String piece(byte[] data) {
+    static String encodePieceEvent(byte[] data) {
         ObjectNode body = Json.mapper().createObjectNode();
         body.put("object", "text_completion");
         ObjectNode choice = body.putArray("choices").addObject();
@@ -76,7 +76,7 @@
     }
 
     /** Returns the events that end a streaming answer. */
-    static String end(Answer answer) {
+    static String encodeEndEvents(Answer answer) {
         ObjectNode body = Json.mapper().createObjectNode();
         body.put("object", "text_completion");
         ObjectNode choice = body.putArray("choices").addObject();
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
@@ -36,7 +36,7 @@
         String rest = request.getRequestURI().substring(PREFIX.length());
         String method = request.getMethod().getMethodString();
         if (method.equals("GET") && rest.isEmpty()) {
-            mContext.mConfigs
+            mContext.mConfigStore
                     .read()
                     .thenAccept(
                             result ->
@@ -46,7 +46,7 @@
         } else if (method.equals("GET") && rest.matches("/\\d{1,18}")) {
             history(Long.parseLong(rest.substring(1)), out);
         } else if (method.equals("PUT") && rest.isEmpty()) {
-            Bodies.read(
+            RequestBodies.read(
                     mContext.mTimer,
                     request,
                     MAX_BYTES,
@@ -60,7 +60,7 @@
     }
 
     private void history(long version, Responder out) {
-        mContext.mConfigs
+        mContext.mConfigStore
                 .readVersion(version)
                 .thenAccept(
                         result ->
@@ -93,7 +93,7 @@
                 given != null && !given.isEmpty()
                         ? given
                         : HexFormat.of().toHexDigits(ThreadLocalRandom.current().nextLong());
-        mContext.mConfigs
+        mContext.mConfigStore
                 .replace(version, author, text, nonce)
                 .thenAccept(
                         result ->
@@ -108,7 +108,7 @@
 
     /** Answers only when the configuration is in force here, so that the next call sees it. */
     private void adoptAndSend(StoredConfig config, Responder out) {
-        mContext.mConfigDuty.post(
+        mContext.mConfigLoop.post(
                 (machine, now) -> {
                     machine.onConfig(config.version(), config.text());
                     send(out, config);
@@ -120,12 +120,12 @@
         body.put("version", config.version());
         body.put("author", config.author());
         body.put("text", config.text());
-        out.sendWhole(200, Faults.JSON, Json.write(body));
+        out.sendWhole(200, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
         return true;
     }
 
     private static boolean sendFault(Responder out, Fault fault) {
-        Faults.send(out, fault);
+        FaultResponses.send(out, fault);
         return false;
     }
 
@@ -142,7 +142,7 @@
                     .put("path", problem.path())
                     .put("message", problem.message());
         }
-        out.sendWhole(422, Faults.JSON, Json.write(body));
+        out.sendWhole(422, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
         return false;
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigEffects.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigOutputHandler.java
@@ -10,28 +10,28 @@
 import org.tinylog.Logger;
 
 /** Carries out what the configuration duty decides. Used on its thread. */
-final class ConfigEffects implements ConfigOutputs {
+final class ConfigOutputHandler implements ConfigOutputs {
     private final EntryContext mContext;
 
-    ConfigEffects(EntryContext context) {
+    ConfigOutputHandler(EntryContext context) {
         mContext = context;
     }
 
     @Override
     public void send(long link, ConfigMessage message) {
-        mContext.mBook.send(link, message);
+        mContext.mLinkRegistry.send(link, message);
     }
 
     @Override
-    public void adopted(OperatorConfig config, String text) {
+    public void onConfigAdopted(OperatorConfig config, String text) {
         Logger.info("config-version={} adopted", config.version());
-        mContext.mCurrent = config;
-        mContext.mRolloutDuty.post((machine, now) -> machine.onConfig(config));
+        mContext.mCurrentConfig = config;
+        mContext.mRolloutLoop.post((machine, now) -> machine.onConfig(config));
         List<ServiceName> engines =
                 config.services().values().stream()
                         .filter(service -> service.kind() == ServiceKind.ENGINE)
                         .map(ServiceSpec::name)
                         .toList();
-        mContext.mPlannerDuty.post((machine, now) -> machine.onServices(engines));
+        mContext.mPlannerLoop.post((machine, now) -> machine.onServices(engines));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigWatcher.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigWatcher.java
@@ -25,7 +25,7 @@
     }
 
     void start() {
-        mContext.mConfigs.read().thenAccept(this::onAnswer);
+        mContext.mConfigStore.read().thenAccept(this::onAnswer);
     }
 
     private void onAnswer(Result<ConfigStore.CurrentConfig> result) {
@@ -46,14 +46,14 @@
     private void onCurrent(ConfigStore.CurrentConfig current) {
         mRevision = Math.max(mRevision, current.revision());
         StoredConfig config = current.config();
-        mContext.mConfigDuty.post(
+        mContext.mConfigLoop.post(
                 (machine, now) -> machine.onConfig(config.version(), config.text()));
         watch();
     }
 
     private void watch() {
         if (!mContext.mTimer.isShutdown()) {
-            mContext.mConfigs.watch(mRevision, WATCH_MILLIS).thenAccept(this::onAnswer);
+            mContext.mConfigStore.watch(mRevision, WATCH_MILLIS).thenAccept(this::onAnswer);
         }
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchEffects.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
@@ -11,22 +11,22 @@
 import org.ebonyrun.daemon.link.PeerLink;
 
 /** Carries out what the dispatch duty decides. Used on its thread. */
-final class DispatchEffects implements DispatchOutputs {
+final class DispatchOutputHandler implements DispatchOutputs {
     private final EntryContext mContext;
 
-    DispatchEffects(EntryContext context) {
+    DispatchOutputHandler(EntryContext context) {
         mContext = context;
     }
 
     @Override
     public boolean send(VmId vm, AttemptMessage message) {
-        PeerLink peer = mContext.mByVm.get(vm);
+        PeerLink peer = mContext.mPeersByVm.get(vm);
         return peer != null && peer.link().send(message);
     }
 
     @Override
     public void piece(Work work, byte[] data) {
-        CallSink sink = mContext.mSinks.get(work.id());
+        CallListener sink = mContext.mCallListeners.get(work.id());
         if (sink != null) {
             sink.onPiece(data);
         }
@@ -35,8 +35,8 @@
     @Override
     public void answered(Work work, Answer answer) {
         long now = System.nanoTime();
-        mContext.mTargets.onAnswered(work, now - work.arrivedAt(), now);
-        CallSink sink = mContext.mSinks.remove(work.id());
+        mContext.mTargetMonitor.onAnswered(work, now - work.arrivedAt(), now);
+        CallListener sink = mContext.mCallListeners.remove(work.id());
         if (sink != null) {
             sink.onAnswer(work, answer);
         }
@@ -52,7 +52,7 @@
 
     @Override
     public void found(VmId vm, SampleKey key, SampleInfo info) {
-        mContext.mRolloutDuty.post((machine, now) -> machine.onFinished(vm, key, info, now));
+        mContext.mRolloutLoop.post((machine, now) -> machine.onFinished(vm, key, info, now));
     }
 
     @Override
@@ -64,11 +64,11 @@
     public void failed(Work work, Fault fault) {
         SampleKey key = work.sample();
         if (key != null) {
-            mContext.mRolloutDuty.post((machine, now) -> machine.onSampleFailed(key, now));
+            mContext.mRolloutLoop.post((machine, now) -> machine.onSampleFailed(key, now));
             return;
         }
-        mContext.mTargets.onFault(work, fault, System.nanoTime());
-        CallSink sink = mContext.mSinks.remove(work.id());
+        mContext.mTargetMonitor.onFault(work, fault, System.nanoTime());
+        CallListener sink = mContext.mCallListeners.remove(work.id());
         if (sink != null) {
             sink.onFault(fault);
         }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
@@ -61,52 +61,53 @@
 
     final DaemonSettings mSettings;
     final NodeMetrics mMetrics = new NodeMetrics();
-    final AsyncHttpClient mCaller;
-    final VmDirectory mDirectory;
-    final WeightStore mWeights;
-    final ManifestStore mManifests;
-    final ClaimStore mClaims;
-    final ConfigStore mConfigs;
-    final LeaseClient mLeases;
-    final LinkRegistry mBook;
+    final AsyncHttpClient mHttpClient;
+    final VmDirectory mVmDirectory;
+    final WeightStore mWeightStore;
+    final ManifestStore mManifestStore;
+    final ClaimStore mClaimStore;
+    final ConfigStore mConfigStore;
+    final LeaseClient mLeaseClient;
+    final LinkRegistry mLinkRegistry;
     final LinkTransport mTransport;
     final ScheduledExecutorService mTimer;
-    final StepReplies mReplies;
+    final PendingStepRequests mPendingStepRequests;
     final long mIncarnation = new SecureRandom().nextLong();
     final AtomicLong mWorkIds = new AtomicLong();
-    final Map<Long, CallSink> mSinks = new ConcurrentHashMap<>();
-    final Map<VmId, PeerLink> mByVm = new ConcurrentHashMap<>();
-    final TargetMonitor mTargets = new TargetMonitor();
+    final Map<Long, CallListener> mCallListeners = new ConcurrentHashMap<>();
+    final Map<VmId, PeerLink> mPeersByVm = new ConcurrentHashMap<>();
+    final TargetMonitor mTargetMonitor = new TargetMonitor();
     final Dispatcher mDispatcher;
     final RolloutMachine mRollout;
     final ConfigMachine mConfig;
     final MembershipMachine mMembership;
     final WeightPlanner mPlanner;
-    final EventLoop<Command<Dispatcher>> mDispatchDuty;
-    final EventLoop<Command<RolloutMachine>> mRolloutDuty;
-    final EventLoop<Command<ConfigMachine>> mConfigDuty;
-    final EventLoop<Command<MembershipMachine>> mMembershipDuty;
-    final EventLoop<Command<WeightPlanner>> mPlannerDuty;
+    final EventLoop<Command<Dispatcher>> mDispatchLoop;
+    final EventLoop<Command<RolloutMachine>> mRolloutLoop;
+    final EventLoop<Command<ConfigMachine>> mConfigLoop;
+    final EventLoop<Command<MembershipMachine>> mMembershipLoop;
+    final EventLoop<Command<WeightPlanner>> mPlannerLoop;
     final int mLinkPort;
-    volatile OperatorConfig mCurrent = OperatorConfig.empty();
+    volatile OperatorConfig mCurrentConfig = OperatorConfig.empty();
     volatile boolean mDraining;
     volatile boolean mStarted;
 
     EntryContext(DaemonSettings settings) throws IOException {
         mSettings = settings;
-        mCaller = AsyncHttpClient.start();
+        mHttpClient = AsyncHttpClient.start();
         KeyValueStore store =
                 ResilientKeyValueStore.create(
-                        new CountedStore(
-                                HttpKeyValueStore.create(mCaller, settings.platform().keyValue()),
+                        new InstrumentedKeyValueStore(
+                                HttpKeyValueStore.create(
+                                        mHttpClient, settings.platform().keyValue()),
                                 mMetrics),
                         MonotonicClock.system(),
                         new Random(mIncarnation));
-        mDirectory = HttpVmDirectory.create(mCaller, settings.platform().vms());
-        mWeights = HttpWeightStore.create(mCaller, settings.platform().weights());
-        mManifests = ManifestStore.create(store);
-        mClaims = ClaimStore.create(store);
-        mConfigs = ConfigStore.create(store);
+        mVmDirectory = HttpVmDirectory.create(mHttpClient, settings.platform().vms());
+        mWeightStore = HttpWeightStore.create(mHttpClient, settings.platform().weights());
+        mManifestStore = ManifestStore.create(store);
+        mClaimStore = ClaimStore.create(store);
+        mConfigStore = ConfigStore.create(store);
         mTimer =
                 Executors.newSingleThreadScheduledExecutor(
                         task -> {
@@ -114,56 +115,56 @@
                             thread.setDaemon(true);
                             return thread;
                         });
-        mReplies = new StepReplies(this);
-        mBook = LinkRegistry.create(hello(settings), new EntryLinks(this));
-        mTransport = LinkTransport.start("links", WireTypes.codec(), mBook);
+        mPendingStepRequests = new PendingStepRequests(this);
+        mLinkRegistry = LinkRegistry.create(hello(settings), new EntryPeerListener(this));
+        mTransport = LinkTransport.start("links", WireTypes.codec(), mLinkRegistry);
         mLinkPort = mTransport.listen(settings.linkListen().host(), settings.linkListen().port());
         LeaseHolder self =
                 new LeaseHolder(
                         settings.vm(), mIncarnation, settings.linkListen().host(), mLinkPort);
-        mLeases = LeaseClient.create(store, self);
+        mLeaseClient = LeaseClient.create(store, self);
         mDispatcher =
                 Dispatcher.create(
                         mIncarnation,
                         LeastLoadChooser.create(settings.failureDomain()),
-                        new DispatchEffects(this));
+                        new DispatchOutputHandler(this));
         mRollout =
                 RolloutMachine.create(
                         self,
-                        Completions::sampleBody,
+                        CompletionsCodec::encodeSampleRequest,
                         StragglerPolicy.tail(),
-                        new RolloutEffects(this));
-        mConfig = ConfigMachine.create(new ConfigEffects(this));
+                        new RolloutOutputHandler(this));
+        mConfig = ConfigMachine.create(new ConfigOutputHandler(this));
         mMembership =
                 MembershipMachine.create(
                         settings.vm(),
                         settings.failureDomain(),
                         settings.entriesPerEndpoint(),
                         new Random(mIncarnation),
-                        new MembershipEffects(this));
-        mPlanner = WeightPlanner.create(self, new PlannerEffects(this));
-        mDispatchDuty = duty("dispatch", RING, mDispatcher, TICK_NANOS);
-        mRolloutDuty = duty("rollout", RING, mRollout, TICK_NANOS);
-        mConfigDuty = duty("config", SMALL_RING, mConfig, SLOW_TICK_NANOS);
-        mMembershipDuty = duty("membership", SMALL_RING, mMembership, SLOW_TICK_NANOS);
-        mPlannerDuty = duty("weights", SMALL_RING, mPlanner, SLOW_TICK_NANOS);
-        mMetrics.registerRingGauge(duties());
-        duties().forEach(EventLoop::launch);
+                        new MembershipOutputHandler(this));
+        mPlanner = WeightPlanner.create(self, new PlannerOutputHandler(this));
+        mDispatchLoop = duty("dispatch", RING, mDispatcher, TICK_NANOS);
+        mRolloutLoop = duty("rollout", RING, mRollout, TICK_NANOS);
+        mConfigLoop = duty("config", SMALL_RING, mConfig, SLOW_TICK_NANOS);
+        mMembershipLoop = duty("membership", SMALL_RING, mMembership, SLOW_TICK_NANOS);
+        mPlannerLoop = duty("weights", SMALL_RING, mPlanner, SLOW_TICK_NANOS);
+        mMetrics.registerRingGauge(eventLoops());
+        eventLoops().forEach(EventLoop::launch);
         mStarted = true;
     }
 
     /** Returns all duties of the entry. */
-    List<EventLoop<?>> duties() {
-        return List.of(mDispatchDuty, mRolloutDuty, mConfigDuty, mMembershipDuty, mPlannerDuty);
+    List<EventLoop<?>> eventLoops() {
+        return List.of(mDispatchLoop, mRolloutLoop, mConfigLoop, mMembershipLoop, mPlannerLoop);
     }
 
     @Override
     public void close() {
         mTimer.shutdownNow();
-        mBook.closeAll();
+        mLinkRegistry.closeAll();
         mTransport.close();
-        duties().forEach(EventLoop::close);
-        mCaller.close();
+        eventLoops().forEach(EventLoop::close);
+        mHttpClient.close();
     }
 
     private MembershipMessage.Hello hello(DaemonSettings settings) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
@@ -50,7 +50,7 @@
     /** Starts an entry. */
     public static EntryNode start(DaemonSettings settings) throws IOException {
         EntryNode node = new EntryNode(settings);
-        new VmPoller(node.mContext).start();
+        new VmDirectoryPoller(node.mContext).start();
         new ConfigWatcher(node.mContext).start();
         return node;
     }
@@ -76,24 +76,24 @@
         state.put("vm", mContext.mSettings.vm());
         state.put("role", mContext.mSettings.role());
         state.put("failure_domain", mContext.mSettings.failureDomain());
-        state.put("config_version", mContext.mCurrent.version());
+        state.put("config_version", mContext.mCurrentConfig.version());
         state.put("draining", mContext.mDraining);
-        return mContext.mDispatchDuty
+        return mContext.mDispatchLoop
                 .query(mContext.mDispatcher::dump)
                 .thenAccept(dispatch -> state.put("dispatch", dispatch))
                 .thenCompose(
                         ignored ->
-                                mContext.mRolloutDuty.query(
+                                mContext.mRolloutLoop.query(
                                         () -> mContext.mRollout.dump(System.nanoTime())))
                 .thenAccept(steps -> state.put("steps", steps))
                 .thenCompose(
                         ignored ->
-                                mContext.mMembershipDuty.query(
+                                mContext.mMembershipLoop.query(
                                         () -> mContext.mMembership.dump(System.nanoTime())))
                 .thenAccept(peers -> state.put("peers", peers))
                 .thenCompose(
                         ignored ->
-                                mContext.mPlannerDuty.query(
+                                mContext.mPlannerLoop.query(
                                         () -> mContext.mPlanner.dump(System.nanoTime())))
                 .thenApply(
                         plans -> {
@@ -103,21 +103,24 @@
     }
 
     private void status(Responder out) {
-        dump().thenCombine(mContext.mDispatchDuty.query(this::classes), EntryNode::withClasses)
+        dump().thenCombine(mContext.mDispatchLoop.query(this::classes), EntryNode::withClasses)
                 .whenComplete(
                         (state, error) -> {
                             if (error == null) {
-                                out.sendWhole(200, Faults.JSON, Json.write(state));
+                                out.sendWhole(
+                                        200, FaultResponses.JSON_CONTENT_TYPE, Json.write(state));
                             } else {
                                 out.sendWhole(
-                                        503, Faults.JSON, Json.write(Map.of("error", "busy")));
+                                        503,
+                                        FaultResponses.JSON_CONTENT_TYPE,
+                                        Json.write(Map.of("error", "busy")));
                             }
                         });
     }
 
     private List<TargetMonitor.ClassStatus> classes() {
-        return mContext.mTargets.status(
-                mContext.mCurrent, mContext.mDispatcher.endpoints(), System.nanoTime());
+        return mContext.mTargetMonitor.status(
+                mContext.mCurrentConfig, mContext.mDispatcher.endpoints(), System.nanoTime());
     }
 
     private static Object withClasses(Object dump, List<TargetMonitor.ClassStatus> classes) {
@@ -128,7 +131,7 @@
 
     @Override
     public boolean isReady() {
-        return !mContext.mDraining && mContext.mCurrent.version() > 0;
+        return !mContext.mDraining && mContext.mCurrentConfig.version() > 0;
     }
 
     @Override
@@ -152,10 +155,10 @@
         long deadline = System.nanoTime() + Nanos.ofMillis(mContext.mSettings.drainMillis());
         boolean idle = false;
         while (!idle && System.nanoTime() < deadline) {
-            idle = mContext.mSinks.isEmpty() && mContext.mReplies.isEmpty();
+            idle = mContext.mCallListeners.isEmpty() && mContext.mPendingStepRequests.isEmpty();
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        mContext.mRolloutDuty.query(this::handOver).join();
+        mContext.mRolloutLoop.query(this::handOver).join();
         close();
         return idle;
     }
@@ -170,7 +173,7 @@
     private boolean handOver() {
         mContext.mRollout
                 .handOver(System.nanoTime())
-                .forEach((key, revision) -> mContext.mLeases.release(key, revision).join());
+                .forEach((key, revision) -> mContext.mLeaseClient.release(key, revision).join());
         return true;
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryLinks.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryPeerListener.java
@@ -15,10 +15,10 @@
 import org.tinylog.Logger;
 
 /** Hands what peers of an entry send to the duties. Thread safe. */
-final class EntryLinks implements PeerListener {
+final class EntryPeerListener implements PeerListener {
     private final EntryContext mContext;
 
-    EntryLinks(EntryContext context) {
+    EntryPeerListener(EntryContext context) {
         mContext = context;
     }
 
@@ -29,15 +29,15 @@
             return;
         }
         MembershipMessage.Hello hello = hello(peer);
-        PeerLink older = mContext.mByVm.put(hello.vm(), peer);
+        PeerLink older = mContext.mPeersByVm.put(hello.vm(), peer);
         if (older != null && older != peer && isAgent(hello)) {
             older.link().close();
         }
         Logger.info("peer={} address={} connected", hello.vm(), peer.link().peer());
-        mContext.mMembershipDuty.post((machine, now) -> machine.onConnected(hello.vm(), now));
+        mContext.mMembershipLoop.post((machine, now) -> machine.onConnected(hello.vm(), now));
         if (isAgent(hello)) {
             ServiceName service = ServiceName.of(hello.service());
-            mContext.mRolloutDuty.post(
+            mContext.mRolloutLoop.post(
                     (machine, now) -> machine.onAgentConnected(hello.vm(), service));
         }
     }
@@ -54,15 +54,15 @@
             onHeartbeat(peer, beat);
         } else if (message instanceof ConfigMessage config) {
             long link = peer.number();
-            mContext.mConfigDuty.post((machine, now) -> machine.onMessage(link, config));
+            mContext.mConfigLoop.post((machine, now) -> machine.onMessage(link, config));
         } else if (message instanceof WeightMessage.LoadResult result) {
             ServiceName service = ServiceName.of(hello(peer).service());
-            mContext.mPlannerDuty.post(
+            mContext.mPlannerLoop.post(
                     (machine, now) -> machine.onResult(vm, service, result, now));
         } else if (message instanceof RolloutMessage.Forward forward) {
-            mContext.mReplies.beginForwarded(peer, forward);
+            mContext.mPendingStepRequests.beginForwarded(peer, forward);
         } else if (message instanceof RolloutMessage.Forwarded forwarded) {
-            mContext.mReplies.completeForwarded(peer.link(), forwarded);
+            mContext.mPendingStepRequests.completeForwarded(peer.link(), forwarded);
         }
     }
 
@@ -72,18 +72,18 @@
             return;
         }
         MembershipMessage.Hello hello = hello(peer);
-        mContext.mReplies.onLinkLost(peer.link());
-        if (!mContext.mByVm.remove(hello.vm(), peer)) {
+        mContext.mPendingStepRequests.onLinkLost(peer.link());
+        if (!mContext.mPeersByVm.remove(hello.vm(), peer)) {
             return;
         }
         Logger.info("peer={} address={} disconnected", hello.vm(), peer.link().peer());
-        mContext.mMembershipDuty.post((machine, now) -> machine.onDisconnected(hello.vm(), now));
+        mContext.mMembershipLoop.post((machine, now) -> machine.onDisconnected(hello.vm(), now));
         if (isAgent(hello)) {
             mContext.mMetrics.removeEndpoint(hello.vm().value());
             ServiceName service = ServiceName.of(hello.service());
-            mContext.mDispatchDuty.post((machine, now) -> machine.onLinkLost(hello.vm(), now));
-            mContext.mRolloutDuty.post((machine, now) -> machine.onAgentLost(hello.vm(), now));
-            mContext.mPlannerDuty.post(
+            mContext.mDispatchLoop.post((machine, now) -> machine.onLinkLost(hello.vm(), now));
+            mContext.mRolloutLoop.post((machine, now) -> machine.onAgentLost(hello.vm(), now));
+            mContext.mPlannerLoop.post(
                     (machine, now) -> machine.onVersion(hello.vm(), service, 0, false));
         }
     }
@@ -93,9 +93,9 @@
                 message instanceof AttemptMessage.SampleContent
                         || message instanceof AttemptMessage.HeldSamples;
         if (held) {
-            mContext.mRolloutDuty.post((machine, now) -> machine.onMessage(vm, message, now));
+            mContext.mRolloutLoop.post((machine, now) -> machine.onMessage(vm, message, now));
         } else {
-            mContext.mDispatchDuty.post((machine, now) -> machine.onMessage(vm, message, now));
+            mContext.mDispatchLoop.post((machine, now) -> machine.onMessage(vm, message, now));
         }
     }
 
@@ -104,17 +104,18 @@
         VmId vm = hello.vm();
         EndpointLoad load = beat.load();
         boolean leaving = load != null && load.leaving();
-        mContext.mMembershipDuty.post((machine, now) -> machine.onHeard(vm, leaving, now));
+        mContext.mMembershipLoop.post(
+                (machine, now) -> machine.onMessageReceived(vm, leaving, now));
         long version = beat.configVersion();
-        if (version != mContext.mCurrent.version()) {
+        if (version != mContext.mCurrentConfig.version()) {
             long link = peer.number();
-            mContext.mConfigDuty.post((machine, now) -> machine.onPeerVersion(link, version));
+            mContext.mConfigLoop.post((machine, now) -> machine.onPeerVersion(link, version));
         }
         if (load != null) {
             ServiceName service = ServiceName.of(hello.service());
             mContext.mMetrics.setFreeCapacity(vm.value(), load.free(), load.sampleRoom());
-            mContext.mDispatchDuty.post((machine, now) -> machine.onHeartbeat(vm, load, now));
-            mContext.mPlannerDuty.post(
+            mContext.mDispatchLoop.post((machine, now) -> machine.onHeartbeat(vm, load, now));
+            mContext.mPlannerLoop.post(
                     (machine, now) -> machine.onVersion(vm, service, load.version(), true));
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/Faults.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/FaultResponses.java
@@ -6,15 +6,15 @@
 import org.ebonyrun.ports.http.Responder;
 
 /** Writes faults as HTTP answers. Stateless and thread safe. */
-final class Faults {
-    static final String JSON = "application/json";
+final class FaultResponses {
+    static final String JSON_CONTENT_TYPE = "application/json";
 
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    private Faults() {}
+    private FaultResponses() {}
 
     /** Returns the JSON of a fault. */
-    static byte[] json(Fault fault) {
+    static byte[] toJson(Fault fault) {
         ObjectNode error = Json.mapper().createObjectNode();
         error.put("code", fault.code().wireName());
         error.put("outcome", fault.outcome().wireName());
@@ -33,6 +33,6 @@
             long seconds = Math.max(1, fault.retryAfterMillis() / MILLIS_PER_SECOND);
             out.setHeader("Retry-After", Long.toString(seconds));
         }
-        out.sendWhole(fault.code().httpStatus(), JSON, json(fault));
+        out.sendWhole(fault.code().httpStatus(), JSON_CONTENT_TYPE, toJson(fault));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CountedStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/InstrumentedKeyValueStore.java
@@ -10,11 +10,11 @@
 import org.ebonyrun.ports.kv.WriteOutcome;
 
 /** Counts the calls to a key-value service by kind. Thread safe. */
-final class CountedStore implements KeyValueStore {
+final class InstrumentedKeyValueStore implements KeyValueStore {
     private final KeyValueStore mStore;
     private final NodeMetrics mMetrics;
 
-    CountedStore(KeyValueStore store, NodeMetrics metrics) {
+    InstrumentedKeyValueStore(KeyValueStore store, NodeMetrics metrics) {
         mStore = store;
         mMetrics = metrics;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DutyLeases.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/LeaseOutputHandler.java
@@ -14,11 +14,11 @@
  *
  * @param <M> the state machine of the duty
  */
-final class DutyLeases<M extends LeaseListener> implements LeaseOutputs {
+final class LeaseOutputHandler<M extends LeaseListener> implements LeaseOutputs {
     private final Supplier<LeaseClient> mClient;
     private final Supplier<EventLoop<Command<M>>> mDuty;
 
-    DutyLeases(Supplier<LeaseClient> client, Supplier<EventLoop<Command<M>>> duty) {
+    LeaseOutputHandler(Supplier<LeaseClient> client, Supplier<EventLoop<Command<M>>> duty) {
         mClient = client;
         mDuty = duty;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/MembershipEffects.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/MembershipOutputHandler.java
@@ -8,10 +8,10 @@
 import org.ebonyrun.daemon.link.PeerLink;
 
 /** Carries out what the membership duty decides. Used on its thread. */
-final class MembershipEffects implements MembershipOutputs {
+final class MembershipOutputHandler implements MembershipOutputs {
     private final EntryContext mContext;
 
-    MembershipEffects(EntryContext context) {
+    MembershipOutputHandler(EntryContext context) {
         mContext = context;
     }
 
@@ -22,7 +22,7 @@
                 .whenComplete(
                         (link, error) -> {
                             if (error != null) {
-                                mContext.mMembershipDuty.post(
+                                mContext.mMembershipLoop.post(
                                         (machine, now) -> machine.onDisconnected(peer.vm(), now));
                             }
                         });
@@ -30,28 +30,28 @@
 
     @Override
     public void disconnect(VmId vm) {
-        PeerLink peer = mContext.mByVm.get(vm);
+        PeerLink peer = mContext.mPeersByVm.get(vm);
         if (peer != null) {
             peer.link().close();
         }
     }
 
     @Override
-    public void heartbeat(VmId vm) {
-        PeerLink peer = mContext.mByVm.get(vm);
+    public void sendHeartbeat(VmId vm) {
+        PeerLink peer = mContext.mPeersByVm.get(vm);
         if (peer != null) {
-            long version = mContext.mCurrent.version();
+            long version = mContext.mCurrentConfig.version();
             peer.link().send(new MembershipMessage.Heartbeat(version, null));
         }
     }
 
     @Override
-    public void usable(Peer peer, boolean usable) {
+    public void setUsable(Peer peer, boolean usable) {
         if (!peer.endpoint()) {
             return;
         }
         ServiceName service = ServiceName.of(peer.service());
-        mContext.mDispatchDuty.post(
+        mContext.mDispatchLoop.post(
                 (machine, now) ->
                         machine.onUsable(peer.vm(), service, peer.failureDomain(), usable, now));
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepReplies.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PendingStepRequests.java
@@ -22,7 +22,7 @@
  *
  * <p>Thread safe. Each request's sink is called exactly once.
  */
-final class StepReplies {
+final class PendingStepRequests {
     private static final long GRACE_MILLIS = 5_000;
     private static final long RETRY_MILLIS = 300;
 
@@ -31,7 +31,7 @@
     private final Map<Long, Waiting> mWaiting = new ConcurrentHashMap<>();
     private final Map<Long, Passed> mPassed = new ConcurrentHashMap<>();
 
-    StepReplies(EntryContext context) {
+    PendingStepRequests(EntryContext context) {
         mContext = context;
     }
 
@@ -63,7 +63,7 @@
         long id = mIds.incrementAndGet();
         mWaiting.put(id, waiting);
         boolean accepted =
-                mContext.mRolloutDuty.offer(
+                mContext.mRolloutLoop.offer(
                         (machine, now) -> machine.onRequest(id, request, forwarded, now));
         if (!accepted) {
             Fault fault =
@@ -94,7 +94,7 @@
 
     /** Passes a request on to the owner of the step. */
     void forward(LeaseHolder owner, long id, StepRequest request) {
-        PeerLink known = mContext.mByVm.get(owner.vm());
+        PeerLink known = mContext.mPeersByVm.get(owner.vm());
         CompletableFuture<Link> link =
                 known != null && known.link().isOpen()
                         ? CompletableFuture.completedFuture(known.link())
@@ -123,13 +123,13 @@
         mWaiting.forEach(
                 (id, waiting) -> {
                     if (waiting.from() == link && mWaiting.remove(id) != null) {
-                        mContext.mRolloutDuty.post((machine, now) -> machine.cancelRequest(id));
+                        mContext.mRolloutLoop.post((machine, now) -> machine.cancelRequest(id));
                     }
                 });
     }
 
     private void unreachable(long id, StepRequest request) {
-        mContext.mRolloutDuty.post(
+        mContext.mRolloutLoop.post(
                 (machine, now) -> machine.onOwnerUnreachable(request.trainer(), now));
         Fault fault =
                 Fault.unknown(
@@ -139,7 +139,7 @@
 
     private void timeOut(long id) {
         if (mWaiting.containsKey(id)) {
-            mContext.mRolloutDuty.post((machine, now) -> machine.cancelRequest(id));
+            mContext.mRolloutLoop.post((machine, now) -> machine.cancelRequest(id));
             Fault fault =
                     Fault.unknown(FaultCode.DEADLINE, "step.wait", "", "no reply of the owner");
             complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_MILLIS)));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerEffects.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerOutputHandler.java
@@ -9,13 +9,15 @@
 import org.ebonyrun.daemon.link.PeerLink;
 
 /** Carries out what the weight planner decides. Used on the weight duty's thread. */
-final class PlannerEffects implements PlannerOutputs {
+final class PlannerOutputHandler implements PlannerOutputs {
     private final EntryContext mContext;
     private final LeaseOutputs mLeases;
 
-    PlannerEffects(EntryContext context) {
+    PlannerOutputHandler(EntryContext context) {
         mContext = context;
-        mLeases = new DutyLeases<WeightPlanner>(() -> context.mLeases, () -> context.mPlannerDuty);
+        mLeases =
+                new LeaseOutputHandler<WeightPlanner>(
+                        () -> context.mLeaseClient, () -> context.mPlannerLoop);
     }
 
     @Override
@@ -30,19 +32,19 @@
 
     @Override
     public boolean order(VmId vm, WeightMessage.LoadOrder order) {
-        PeerLink peer = mContext.mByVm.get(vm);
+        PeerLink peer = mContext.mPeersByVm.get(vm);
         return peer != null && peer.link().send(order);
     }
 
     @Override
     public void askLatest(ServiceName service) {
-        mContext.mWeights
+        mContext.mWeightStore
                 .latestVersion(service)
                 .thenAccept(
                         result ->
                                 result.map(
                                         version -> {
-                                            mContext.mPlannerDuty.post(
+                                            mContext.mPlannerLoop.post(
                                                     (machine, now) ->
                                                             machine.onLatest(
                                                                     service, version, now));
@@ -52,12 +54,12 @@
 
     @Override
     public String storeSource(ServiceName service, long version) {
-        return mContext.mWeights.source(service, version);
+        return mContext.mWeightStore.source(service, version);
     }
 
     @Override
     public String peerSource(VmId vm, ServiceName service, long version) {
-        PeerLink peer = mContext.mByVm.get(vm);
+        PeerLink peer = mContext.mPeersByVm.get(vm);
         String base = peer == null || peer.hello() == null ? "" : peer.hello().weightSource();
         return base + "/weights/" + version;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/Bodies.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RequestBodies.java
@@ -8,10 +8,10 @@
 import org.glassfish.grizzly.http.server.Request;
 
 /** Reads request bodies within a size and a time. Stateless and thread safe. */
-final class Bodies {
+final class RequestBodies {
     private static final long TIMEOUT_MILLIS = 30_000;
 
-    private Bodies() {}
+    private RequestBodies() {}
 
     /** Reads a body; the sink gets exactly one result. */
     static void read(
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutEffects.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
@@ -24,16 +24,18 @@
 import org.jspecify.annotations.Nullable;
 
 /** Carries out what the rollout duty decides. Used on its thread. */
-final class RolloutEffects implements RolloutOutputs {
+final class RolloutOutputHandler implements RolloutOutputs {
     private static final ClassName SCORING = ClassName.of("scoring");
     private static final long SCORE_NANOS = Nanos.ofMillis(3_000);
 
     private final EntryContext mContext;
     private final LeaseOutputs mLeases;
 
-    RolloutEffects(EntryContext context) {
+    RolloutOutputHandler(EntryContext context) {
         mContext = context;
-        mLeases = new DutyLeases<RolloutMachine>(() -> context.mLeases, () -> context.mRolloutDuty);
+        mLeases =
+                new LeaseOutputHandler<RolloutMachine>(
+                        () -> context.mLeaseClient, () -> context.mRolloutLoop);
     }
 
     @Override
@@ -48,13 +50,13 @@
 
     @Override
     public void storeManifest(StepManifest manifest) {
-        mContext.mManifests
+        mContext.mManifestStore
                 .store(manifest)
                 .thenAccept(
                         result -> {
                             Optional<Fault> fault =
                                     result.fold(ok -> Optional.empty(), Optional::of);
-                            mContext.mRolloutDuty.post(
+                            mContext.mRolloutLoop.post(
                                     (machine, now) ->
                                             machine.onManifestStored(manifest, fault, now));
                         });
@@ -62,7 +64,7 @@
 
     @Override
     public void loadManifest(TrainerId trainer, long step) {
-        mContext.mManifests
+        mContext.mManifestStore
                 .load(trainer, step)
                 .thenAccept(
                         result -> {
@@ -71,7 +73,7 @@
                                             found -> found.orElse(null), fault -> null);
                             Optional<Fault> fault =
                                     result.fold(ok -> Optional.empty(), Optional::of);
-                            mContext.mRolloutDuty.post(
+                            mContext.mRolloutLoop.post(
                                     (machine, now) ->
                                             machine.onManifestLoaded(
                                                     trainer, step, manifest, fault, now));
@@ -80,38 +82,38 @@
 
     @Override
     public void deleteManifest(TrainerId trainer, long step, int slots) {
-        mContext.mManifests.delete(trainer, step);
+        mContext.mManifestStore.delete(trainer, step);
     }
 
     @Override
     public void submit(Work work) {
-        mContext.mDispatchDuty.post((machine, now) -> machine.submit(work, now));
+        mContext.mDispatchLoop.post((machine, now) -> machine.submit(work, now));
     }
 
     @Override
     public void cancel(long workId) {
-        mContext.mDispatchDuty.post((machine, now) -> machine.cancel(workId));
+        mContext.mDispatchLoop.post((machine, now) -> machine.cancel(workId));
     }
 
     @Override
     public void abandon(long workId) {
-        mContext.mDispatchDuty.post((machine, now) -> machine.abandon(workId));
+        mContext.mDispatchLoop.post((machine, now) -> machine.abandon(workId));
     }
 
     @Override
     public void setMinVersion(TrainerId trainer, long version) {
-        mContext.mDispatchDuty.post((machine, now) -> machine.setMinVersion(trainer, version, now));
+        mContext.mDispatchLoop.post((machine, now) -> machine.setMinVersion(trainer, version, now));
     }
 
     @Override
     public boolean send(VmId vm, AttemptMessage message) {
-        PeerLink peer = mContext.mByVm.get(vm);
+        PeerLink peer = mContext.mPeersByVm.get(vm);
         return peer != null && peer.link().send(message);
     }
 
     @Override
     public void broadcast(ServiceName service, AttemptMessage message) {
-        for (PeerLink peer : mContext.mByVm.values()) {
+        for (PeerLink peer : mContext.mPeersByVm.values()) {
             boolean serves = peer.hello() != null && peer.hello().service().equals(service.value());
             if (serves) {
                 peer.link().send(message);
@@ -141,18 +143,18 @@
                         0,
                         null,
                         0);
-        mContext.mSinks.put(id, new ScoreSink(key));
-        mContext.mDispatchDuty.post((machine, at) -> machine.submit(work, at));
+        mContext.mCallListeners.put(id, new ScoreSink(key));
+        mContext.mDispatchLoop.post((machine, at) -> machine.submit(work, at));
     }
 
     @Override
     public void forward(LeaseHolder owner, long requestId, StepRequest request) {
-        mContext.mReplies.forward(owner, requestId, request);
+        mContext.mPendingStepRequests.forward(owner, requestId, request);
     }
 
     @Override
     public void reply(long requestId, StepReply reply) {
-        mContext.mReplies.complete(requestId, reply);
+        mContext.mPendingStepRequests.complete(requestId, reply);
     }
 
     @Override
@@ -171,7 +173,7 @@
     }
 
     /** Passes a score on to the rollout duty. Used on the dispatch duty. */
-    private final class ScoreSink implements CallSink {
+    private final class ScoreSink implements CallListener {
         private final SampleKey mKey;
 
         ScoreSink(SampleKey key) {
@@ -193,7 +195,7 @@
         }
 
         private void tell(@Nullable String score) {
-            mContext.mRolloutDuty.post((machine, now) -> machine.onScored(mKey, score, now));
+            mContext.mRolloutLoop.post((machine, now) -> machine.onScored(mKey, score, now));
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepApi.java
@@ -56,17 +56,17 @@
 
     void handle(Request request, Responder out) {
         if (mContext.mDraining) {
-            Faults.send(out, notRun(FaultCode.DRAINING, "the entry is shutting down"));
+            FaultResponses.send(out, notRun(FaultCode.DRAINING, "the entry is shutting down"));
             return;
         }
         Target target;
         try {
             target = target(request.getRequestURI());
         } catch (IllegalArgumentException e) {
-            Faults.send(out, notRun(FaultCode.NOT_FOUND, String.valueOf(e.getMessage())));
+            FaultResponses.send(out, notRun(FaultCode.NOT_FOUND, String.valueOf(e.getMessage())));
             return;
         }
-        Bodies.read(
+        RequestBodies.read(
                 mContext.mTimer,
                 request,
                 MAX_SUBMIT_BYTES,
@@ -77,7 +77,7 @@
                                     return true;
                                 },
                                 fault -> {
-                                    Faults.send(out, fault);
+                                    FaultResponses.send(out, fault);
                                     return false;
                                 }));
     }
@@ -87,11 +87,11 @@
         try {
             request = request(method, target, body);
         } catch (IllegalArgumentException e) {
-            Faults.send(out, notRun(FaultCode.BAD_REQUEST, String.valueOf(e.getMessage())));
+            FaultResponses.send(out, notRun(FaultCode.BAD_REQUEST, String.valueOf(e.getMessage())));
             return;
         }
         long wait = request instanceof StepRequest.Pull pull ? pull.waitMillis() : 0;
-        mContext.mReplies.begin(request, wait, reply -> answer(request, reply, out));
+        mContext.mPendingStepRequests.begin(request, wait, reply -> answer(request, reply, out));
     }
 
     private static StepRequest request(String method, Target target, byte[] body) {
@@ -141,7 +141,7 @@
     private static void answer(StepRequest request, StepReply reply, Responder out) {
         Fault fault = reply.fault();
         if (fault != null) {
-            Faults.send(out, fault);
+            FaultResponses.send(out, fault);
             return;
         }
         Map<String, Object> body = new LinkedHashMap<>();
@@ -154,7 +154,7 @@
         } else {
             body.put("accepted", true);
         }
-        out.sendWhole(200, Faults.JSON, Json.write(body));
+        out.sendWhole(200, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
     }
 
     private static Fault notRun(FaultCode code, String detail) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/VmPoller.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/VmDirectoryPoller.java
@@ -12,19 +12,19 @@
  *
  * <p>Thread safe.
  */
-final class VmPoller {
+final class VmDirectoryPoller {
     private static final long MIN_PERIOD_MILLIS = 1_000;
     private static final long MILLIS_PER_VM = 20;
     private static final long MAX_PERIOD_MILLIS = 120_000;
 
     private final EntryContext mContext;
 
-    VmPoller(EntryContext context) {
+    VmDirectoryPoller(EntryContext context) {
         mContext = context;
     }
 
     void start() {
-        mContext.mDirectory
+        mContext.mVmDirectory
                 .list()
                 .thenAccept(
                         result -> schedule(result.fold(this::hand, fault -> MIN_PERIOD_MILLIS)));
@@ -40,8 +40,8 @@
 
     /** Hands a list to the membership duty and returns when to read the next. */
     private long hand(List<VmRecord> records) {
-        List<Peer> peers = records.stream().map(VmPoller::peer).toList();
-        mContext.mMembershipDuty.post((machine, now) -> machine.onList(peers, now));
+        List<Peer> peers = records.stream().map(VmDirectoryPoller::peer).toList();
+        mContext.mMembershipLoop.post((machine, now) -> machine.onVmList(peers, now));
         long period = Math.max(MIN_PERIOD_MILLIS, records.size() * MILLIS_PER_VM);
         return Math.min(MAX_PERIOD_MILLIS, period);
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLimits.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLimits.java
@@ -3,7 +3,7 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 import org.ebonyrun.core.settings.SettingsNode;
-import org.ebonyrun.core.settings.Units;
+import org.ebonyrun.core.settings.ValueParser;
 
 /**
  * Times within which a deployment wants things done, all in milliseconds.
@@ -38,18 +38,19 @@
     /** Reads limits; what is missing or can't be read has its default. */
     static EntryLimits read(SettingsNode node) {
         return new EntryLimits(
-                node.get("order_quiet").read(Units::millis, DEFAULT.orderQuietPeriodMillis),
-                node.get("grace").read(Units::millis, DEFAULT.gracePeriodMillis),
-                node.get("keep_results").read(Units::millis, DEFAULT.retentionMillis),
+                node.get("order_quiet")
+                        .read(ValueParser::parseMillis, DEFAULT.orderQuietPeriodMillis),
+                node.get("grace").read(ValueParser::parseMillis, DEFAULT.gracePeriodMillis),
+                node.get("keep_results").read(ValueParser::parseMillis, DEFAULT.retentionMillis),
                 positive(node.get("config_within"), DEFAULT.configDelayMillis),
                 positive(node.get("leaving_within"), DEFAULT.leavingDelayMillis),
                 positive(node.get("contact_within"), DEFAULT.catchUpMillis));
     }
 
     private static long positive(SettingsNode node, long fallback) {
-        long millis = node.read(Units::millis, fallback);
+        long millis = node.read(ValueParser::parseMillis, fallback);
         if (millis <= 0) {
-            node.problem("is not above zero");
+            node.addProblem("is not above zero");
             return fallback;
         }
         return millis;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
@@ -79,11 +79,11 @@
     public static Parsed parse(String file, String text) {
         List<Problem> problems = new ArrayList<>();
         SettingsNode root = SettingsNode.parse(file, text, problems);
-        root.allow(KEYS);
+        root.checkKeys(KEYS);
         SettingsNode listen = root.get("listen");
-        listen.allow(Set.of("front", "ready", "metrics"));
+        listen.checkKeys(Set.of("front", "ready", "metrics"));
         SettingsNode limits = root.get("limits");
-        limits.allow(LIMIT_KEYS);
+        limits.checkKeys(LIMIT_KEYS);
         HostedSettings settings =
                 new HostedSettings(
                         needed(root.get("vm"), VmId::of, VmId.of("unknown")),
@@ -123,7 +123,7 @@
         for (Mechanism mechanism : Mechanism.values()) {
             mechanisms.put(mechanism.settingKey(), mechanism);
         }
-        node.allow(mechanisms.keySet());
+        node.checkKeys(mechanisms.keySet());
         Policy policy = Policy.ALL;
         for (Map.Entry<String, Mechanism> entry : mechanisms.entrySet()) {
             if (!node.get(entry.getKey()).read(HostedSettings::trueOrFalse, true)) {
@@ -149,7 +149,7 @@
 
     private static <T> T needed(SettingsNode node, Function<String, T> read, T fallback) {
         if (!node.isPresent()) {
-            node.problem("is missing");
+            node.addProblem("is missing");
         }
         return node.read(read, fallback);
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
@@ -171,7 +171,7 @@
 
     private void heartbeat() {
         EndpointLoad load = mAttempts.load(now());
-        if (mHeartbeats.isDue(load, now())) {
+        if (mHeartbeats.markSentIfDue(load, now())) {
             Message beat = new MembershipMessage.Heartbeat(mConfigVersion, load);
             mLinks.values().forEach(link -> link.sendToEntry(beat));
         }
@@ -293,7 +293,7 @@
         }
 
         @Override
-        public void adopted(OperatorConfig config, String text) {
+        public void onConfigAdopted(OperatorConfig config, String text) {
             mReverted |= config.version() < mConfigVersion;
             mConfigVersion = config.version();
         }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualConfig.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualConfig.java
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void adopted(OperatorConfig config, String text) {
+    public void onConfigAdopted(OperatorConfig config, String text) {
         mEntry.adopted(config);
         mEntry.post(() -> mEntry.mRollout.onConfig(config));
         List<ServiceName> engines =
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
@@ -132,8 +132,8 @@
         mConfig = ConfigMachine.create(new VirtualConfig(this));
         every(TICK_NANOS, this::tick);
         every(SLOW_TICK_NANOS, this::slowTick);
-        every(PAUSE_NANOS, () -> mMembership.onList(mWorld.vmList(), now()));
-        mMembership.onList(mWorld.vmList(), now());
+        every(PAUSE_NANOS, () -> mMembership.onVmList(mWorld.vmList(), now()));
+        mMembership.onVmList(mWorld.vmList(), now());
         readConfig();
     }
 
@@ -253,7 +253,7 @@
     private void onHeartbeat(VirtualLink link, MembershipMessage.Heartbeat beat) {
         VmId vm = link.mAgent.mVm;
         EndpointLoad load = beat.load();
-        mMembership.onHeard(vm, load != null && load.leaving(), now());
+        mMembership.onMessageReceived(vm, load != null && load.leaving(), now());
         mConfig.onPeerVersion(link.mNumber, beat.configVersion());
         if (load != null) {
             mDispatcher.onHeartbeat(vm, load, now());
@@ -283,16 +283,17 @@
             return;
         }
         long id = nextId();
-        long timeout = Math.max(MIN_TIMEOUT_MILLIS, spec.latenessMillis() * TIMEOUT_PER_TARGET);
+        long timeout =
+                Math.max(MIN_TIMEOUT_MILLIS, spec.targetLatencyMillis() * TIMEOUT_PER_TARGET);
         Work work =
                 new Work(
                         id,
                         WorkKind.CALL,
                         spec.service(),
                         spec.name(),
-                        spec.latenessQuantile(),
+                        spec.targetQuantile(),
                         now(),
-                        now() + Nanos.ofMillis(spec.latenessMillis()),
+                        now() + Nanos.ofMillis(spec.targetLatencyMillis()),
                         now() + Nanos.ofMillis(timeout),
                         call.idempotent(),
                         false,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualMembership.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualMembership.java
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void heartbeat(VmId vm) {
+    public void sendHeartbeat(VmId vm) {
         VirtualLink link = mEntry.mByVm.get(vm);
         if (link != null) {
             link.sendToAgent(new MembershipMessage.Heartbeat(mEntry.mCurrent.version(), null));
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void usable(Peer peer, boolean usable) {
+    public void setUsable(Peer peer, boolean usable) {
         if (peer.endpoint()) {
             ServiceName service = ServiceName.of(peer.service());
             mEntry.post(
