--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/DispatchBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/DispatchBench.java
@@ -58,19 +58,19 @@
         }
 
         @Override
-        public void piece(Work work, byte[] data) {}
+        public void onPiece(Work work, byte[] data) {}
 
         @Override
-        public void answered(Work work, Answer answer) {}
+        public void onAnswer(Work work, Answer answer) {}
 
         @Override
-        public void sampled(Work work, VmId vm, SampleInfo info) {}
+        public void onSampleFinished(Work work, VmId vm, SampleInfo info) {}
 
         @Override
-        public void found(VmId vm, SampleKey key, SampleInfo info) {}
+        public void onUntrackedSampleFinished(VmId vm, SampleKey key, SampleInfo info) {}
 
         @Override
-        public void failed(Work work, Fault fault) {}
+        public void onFault(Work work, Fault fault) {}
     }
 
     /** Makes the endpoints known. */
@@ -80,7 +80,7 @@
         mDispatcher = Dispatcher.create(1, LeastLoadChooser.create(domain), mSink);
         for (int i = 0; i < mEndpoints; i++) {
             VmId vm = VmId.of("vm-" + i);
-            mDispatcher.onUsable(vm, SERVICE, domain, true, 0);
+            mDispatcher.setEndpointUsable(vm, SERVICE, domain, true, 0);
             mDispatcher.onHeartbeat(vm, LOAD, 0);
         }
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/Attempt.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/Attempt.java
@@ -17,8 +17,8 @@
     final Job mJob;
     final long mLink;
     final long mTargetAt;
-    final long mGiveUpAt;
-    final QueueOrder.QueuedWork mQueued;
+    final long mDeadline;
+    final QueueOrder.QueuedWork mQueueKey;
     final TreeSet<Long> mVersions = new TreeSet<>();
     final ByteArrayOutputStream mContent = new ByteArrayOutputStream();
     Phase mPhase = Phase.QUEUED;
@@ -30,10 +30,10 @@
         mId = id;
         mJob = job;
         mLink = link;
-        mGiveUpAt = now + Nanos.ofMillis(job.timeoutMillis());
+        mDeadline = now + Nanos.ofMillis(job.timeoutMillis());
         mTargetAt = now + Nanos.ofMillis(job.targetMillis());
         long latestStart = mTargetAt - Nanos.ofMillis(serviceMillis);
-        mQueued = new QueueOrder.QueuedWork(job.kind(), arrival, latestStart);
+        mQueueKey = new QueueOrder.QueuedWork(job.kind(), arrival, latestStart);
     }
 
     boolean isSample() {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptLimits.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptLimits.java
@@ -9,13 +9,13 @@
  */
 public record AttemptLimits(int slots, int maxQueued, long maxHeldBytes) {
     /** Bytes of finished samples held by default. */
-    public static final long DEFAULT_HELD_BYTES = 32L << 20;
+    public static final long DEFAULT_MAX_HELD_BYTES = 32L << 20;
 
     /** Calls that wait by default. */
-    public static final int DEFAULT_QUEUED = 256;
+    public static final int DEFAULT_MAX_QUEUED = 256;
 
     /** Returns the default limits for an endpoint with the given number of slots. */
     public static AttemptLimits ofSlots(int slots) {
-        return new AttemptLimits(slots, DEFAULT_QUEUED, DEFAULT_HELD_BYTES);
+        return new AttemptLimits(slots, DEFAULT_MAX_QUEUED, DEFAULT_MAX_HELD_BYTES);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
@@ -213,7 +213,7 @@
                 load(now),
                 mAttempts.size(),
                 mStore.size(),
-                mStore.bytes(),
+                mStore.totalBytes(),
                 mDuplicates,
                 mUnknownEvents);
     }
@@ -238,9 +238,9 @@
 
     @Override
     public void onTick(long now) {
-        mAdmission.onCalls(openCalls(), now);
+        mAdmission.updateOpenCalls(openCalls(), now);
         for (Attempt attempt : List.copyOf(mAttempts.values())) {
-            if (now - attempt.mGiveUpAt >= 0) {
+            if (now - attempt.mDeadline >= 0) {
                 giveUp(attempt, now);
             }
         }
@@ -250,11 +250,11 @@
 
     /** Releases what is held of steps whose owners have been silent for long; it can run again. */
     private void releaseOrphans(long now) {
-        mOwners.takeOrphans(now).forEach(this::releaseStep);
+        mOwners.removeOrphans(now).forEach(this::releaseStep);
     }
 
     private void releaseStep(StepKey step) {
-        mStore.ofStep(step.trainer(), step.step()).forEach(held -> mStore.release(held.key()));
+        mStore.findByStep(step.trainer(), step.step()).forEach(held -> mStore.release(held.key()));
     }
 
     private void onOffer(long link, AttemptMessage.Offer offer, long now) {
@@ -271,8 +271,8 @@
         long service = mTimes.medianMillis(job.className());
         Attempt attempt = new Attempt(offer.id(), job, link, mArrivals++, service, now);
         mAttempts.put(offer.id(), attempt);
-        mQueue.put(attempt.mQueued, attempt);
-        mAdmission.onCalls(openCalls(), now);
+        mQueue.put(attempt.mQueueKey, attempt);
+        mAdmission.updateOpenCalls(openCalls(), now);
         pump(now);
     }
 
@@ -295,7 +295,7 @@
         }
         int ahead = callsAhead(now);
         int slots = callSlots(now);
-        if (mPolicy.refusesLate()
+        if (mPolicy.refusesLateCalls()
                 && ahead > 0
                 && predictedMillis(job, ahead, slots) > job.targetMillis()) {
             mAdmission.onCallEnd(false, job.targetQuantile());
@@ -309,10 +309,10 @@
     private @Nullable Fault sampleRefusal(long link, Job job, SampleKey key, long now) {
         StepKey step = StepKey.of(key);
         if (mOwners.isFenced(step, job.fence())) {
-            String detail = "fence " + job.fence() + " is below " + mOwners.fence(step);
+            String detail = "fence " + job.fence() + " is below " + mOwners.highestFence(step);
             return notRun(FaultCode.FENCED, detail);
         }
-        mOwners.claim(step, link, job.fence(), now);
+        mOwners.setOwner(step, link, job.fence(), now);
         int room = sampleRoom(now);
         if (job.isUrgentSample()) {
             room = Math.max(room, urgentRoom());
@@ -335,7 +335,8 @@
      */
     private int callSlots(long now) {
         int samples = mAttempts.size() - openCalls();
-        int urgent = now < mUrgentUntil ? mAdmission.urgentRoom(mLimits.slots(), 0) : 0;
+        int urgent =
+                now < mUrgentUntil ? mAdmission.admissibleUrgentSamples(mLimits.slots(), 0) : 0;
         return Math.max(1, mLimits.slots() - Math.max(samples, urgent));
     }
 
@@ -356,17 +357,21 @@
     private int sampleRoom(long now) {
         int calls = openCalls();
         return takesSamples()
-                ? mAdmission.room(mLimits.slots(), calls, mAttempts.size() - calls, now)
+                ? mAdmission.admissibleSamples(
+                        mLimits.slots(), calls, mAttempts.size() - calls, now)
                 : 0;
     }
 
     private int urgentRoom() {
         int samples = mAttempts.size() - openCalls();
-        return takesSamples() ? mAdmission.urgentRoom(mLimits.slots(), samples) : 0;
+        return takesSamples() ? mAdmission.admissibleUrgentSamples(mLimits.slots(), samples) : 0;
     }
 
     private boolean takesSamples() {
-        return !mDraining && mReachable && !mSwapping && mStore.bytes() < mLimits.maxHeldBytes();
+        return !mDraining
+                && mReachable
+                && !mSwapping
+                && mStore.totalBytes() < mLimits.maxHeldBytes();
     }
 
     private int openCalls() {
@@ -422,7 +427,7 @@
         if (attempt.mPhase == Attempt.Phase.RUNNING) {
             mRunning--;
         } else {
-            mQueue.remove(attempt.mQueued);
+            mQueue.remove(attempt.mQueueKey);
         }
         return attempt;
     }
@@ -431,14 +436,14 @@
         SampleKey key = requireNonNull(attempt.mJob.sample());
         byte[] content = attempt.mContent.toByteArray();
         SampleInfo info = new SampleInfo(content.length, attempt.mTokens, attempt.versions());
-        SampleStore.Stored stored = mStore.add(key, info, content);
+        SampleStore.StoredSample stored = mStore.addIfAbsent(key, info, content);
         mOutputs.send(
                 ownerLink(attempt, key),
                 new AttemptMessage.SampleFinished(attempt.mId, key, stored.info(), load(now)));
     }
 
     private long ownerLink(Attempt attempt, SampleKey key) {
-        return mOwners.link(StepKey.of(key), attempt.mLink);
+        return mOwners.ownerLink(StepKey.of(key), attempt.mLink);
     }
 
     private AttemptMessage done(Attempt attempt, int status, String contentType, long now) {
@@ -464,7 +469,7 @@
 
     private void onFetch(long link, SampleKey key, long now) {
         mOwners.touch(StepKey.of(key), now);
-        SampleStore.Stored stored = mStore.get(key);
+        SampleStore.StoredSample stored = mStore.get(key);
         mOutputs.send(
                 link,
                 stored == null
@@ -477,7 +482,7 @@
         if (mOwners.isFenced(step, query.fence())) {
             return;
         }
-        mOwners.claim(step, link, query.fence(), now);
+        mOwners.setOwner(step, link, query.fence(), now);
         List<SampleKey> running = new ArrayList<>();
         for (Attempt attempt : mAttempts.values()) {
             SampleKey key = attempt.mJob.sample();
@@ -490,7 +495,7 @@
                 new AttemptMessage.HeldSamples(
                         query.trainer(),
                         query.step(),
-                        mStore.ofStep(query.trainer(), query.step()),
+                        mStore.findByStep(query.trainer(), query.step()),
                         running));
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptPolicy.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptPolicy.java
@@ -12,7 +12,7 @@
  * @param refusesLate whether a call that would miss its target is refused at once
  */
 public record AttemptPolicy(
-        QueueOrder order, Supplier<SampleAdmission> admission, boolean refusesLate) {
+        QueueOrder order, Supplier<SampleAdmission> admission, boolean refusesLateCalls) {
     /** Returns the policy that the daemon runs with. */
     public static AttemptPolicy standard() {
         return new AttemptPolicy(QueueOrder.leastLaxity(), SampleAdmission::callReserve, true);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/CallReserve.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/CallReserve.java
@@ -26,7 +26,7 @@
     private long mUpdated;
 
     /** Takes note of the number of calls that run or wait from now on. */
-    void onCalls(int calls, long now) {
+    void updateOpenCalls(int calls, long now) {
         mMean = mean(now);
         mCalls = calls;
         mUpdated = now;
@@ -45,7 +45,7 @@
     }
 
     /** Returns the number of slots to keep, at most half of {@code slots}. */
-    int slots(int slots, long now) {
+    int reservedSlots(int slots, long now) {
         double mean = mean(now);
         if (mean < NEGLIGIBLE_CALLS) {
             return 0;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/ReservedAdmission.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/CallReserveAdmission.java
@@ -6,23 +6,23 @@
  *
  * <p>Not thread safe; confined to the attempt duty.
  */
-final class ReservedAdmission implements SampleAdmission {
+final class CallReserveAdmission implements SampleAdmission {
     private final CallReserve mReserve = new CallReserve();
 
     @Override
-    public int room(int slots, int calls, int samples, long now) {
-        int reserved = Math.max(calls, mReserve.slots(slots, now));
+    public int admissibleSamples(int slots, int calls, int samples, long now) {
+        int reserved = Math.max(calls, mReserve.reservedSlots(slots, now));
         return Math.max(0, slots - reserved - samples);
     }
 
     @Override
-    public int urgentRoom(int slots, int samples) {
+    public int admissibleUrgentSamples(int slots, int samples) {
         return Math.max(0, slots / 2 - samples);
     }
 
     @Override
-    public void onCalls(int calls, long now) {
-        mReserve.onCalls(calls, now);
+    public void updateOpenCalls(int calls, long now) {
+        mReserve.updateOpenCalls(calls, now);
     }
 
     @Override
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/EndpointLoad.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/EndpointLoad.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns how many calls would start at once. */
-    public int free() {
+    public int freeSlots() {
         return slots - running - queued;
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/QueueOrder.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/QueueOrder.java
@@ -15,22 +15,23 @@
      * @param latestStart the monotonic time in nanoseconds at which the work must start to meet its
      *     target, by the learned service time
      */
-    record QueuedWork(WorkKind kind, long arrival, long latestStart) {}
+    record QueuedWork(WorkKind kind, long arrivalNumber, long latestStart) {}
 
     /** Returns the order that starts the work with the least time to spare first. */
     static QueueOrder leastLaxity() {
         return () ->
                 Comparator.comparingLong(QueuedWork::latestStart)
-                        .thenComparingLong(QueuedWork::arrival);
+                        .thenComparingLong(QueuedWork::arrivalNumber);
     }
 
     /** Returns the order of arrival. */
-    static QueueOrder arrival() {
-        return () -> Comparator.comparingLong(QueuedWork::arrival);
+    static QueueOrder fifo() {
+        return () -> Comparator.comparingLong(QueuedWork::arrivalNumber);
     }
 
     /** Returns the order that starts calls before samples, each by arrival. */
     static QueueOrder callsFirst() {
-        return () -> Comparator.comparing(QueuedWork::kind).thenComparingLong(QueuedWork::arrival);
+        return () ->
+                Comparator.comparing(QueuedWork::kind).thenComparingLong(QueuedWork::arrivalNumber);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/DecayingQuantile.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/RotatingHistogram.java
@@ -10,7 +10,7 @@
  *
  * <p>Not thread safe; confined to the duty that owns it.
  */
-public final class DecayingQuantile {
+public final class RotatingHistogram {
     private static final long HIGHEST_MILLIS = 3_600_000;
     private static final int SIGNIFICANT_DIGITS = 1;
 
@@ -18,14 +18,14 @@
     private IntCountsHistogram mOlder = histogram();
     private IntCountsHistogram mNewer = histogram();
 
-    private DecayingQuantile(int window) {
+    private RotatingHistogram(int window) {
         checkArgument(window > 0, "window is not positive: %s", window);
         mWindow = window;
     }
 
     /** Creates an estimator that forgets after one to two windows of samples. */
-    public static DecayingQuantile create(int window) {
-        return new DecayingQuantile(window);
+    public static RotatingHistogram create(int window) {
+        return new RotatingHistogram(window);
     }
 
     /** Adds a duration in milliseconds. */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SampleAdmission.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SampleAdmission.java
@@ -15,19 +15,19 @@
      * @param calls calls that run or wait
      * @param samples samples that run or wait
      */
-    int room(int slots, int calls, int samples, long now);
+    int admissibleSamples(int slots, int calls, int samples, long now);
 
     /**
      * Returns how many more samples whose target has passed may start.
      *
      * @param samples samples that run or wait
      */
-    default int urgentRoom(int slots, int samples) {
+    default int admissibleUrgentSamples(int slots, int samples) {
         return 0;
     }
 
     /** Takes note of the number of calls that run or wait. */
-    default void onCalls(int calls, long now) {}
+    default void updateOpenCalls(int calls, long now) {}
 
     /**
      * Takes note of the end of a call; a refused one counts as late.
@@ -41,7 +41,7 @@
 
     /** Returns the rule that keeps slots for the calls that may come, learned from recent ones. */
     static SampleAdmission callReserve() {
-        return new ReservedAdmission();
+        return new CallReserveAdmission();
     }
 
     /** Returns the rule that gives every free slot to samples. */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SampleStore.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SampleStore.java
@@ -17,36 +17,36 @@
  * <p>Not thread safe; confined to the attempt duty.
  */
 final class SampleStore {
-    private final Map<SampleKey, Stored> mSamples = new HashMap<>();
+    private final Map<SampleKey, StoredSample> mSamples = new HashMap<>();
     private long mBytes;
 
     /** A finished sample and its content. */
-    record Stored(SampleInfo info, byte[] content) {}
+    record StoredSample(SampleInfo info, byte[] content) {}
 
     /** Stores a sample unless the slot is filled; returns what the slot holds now. */
-    Stored add(SampleKey key, SampleInfo info, byte[] content) {
-        Stored present = mSamples.get(key);
+    StoredSample addIfAbsent(SampleKey key, SampleInfo info, byte[] content) {
+        StoredSample present = mSamples.get(key);
         if (present != null) {
             return present;
         }
-        Stored stored = new Stored(info, content);
+        StoredSample stored = new StoredSample(info, content);
         mSamples.put(key, stored);
         mBytes += content.length;
         return stored;
     }
 
-    @Nullable Stored get(SampleKey key) {
+    @Nullable StoredSample get(SampleKey key) {
         return mSamples.get(key);
     }
 
     void release(SampleKey key) {
-        Stored stored = mSamples.remove(key);
+        StoredSample stored = mSamples.remove(key);
         if (stored != null) {
             mBytes -= stored.content().length;
         }
     }
 
-    List<AttemptMessage.HeldSample> ofStep(TrainerId trainer, long step) {
+    List<AttemptMessage.HeldSample> findByStep(TrainerId trainer, long step) {
         List<AttemptMessage.HeldSample> held = new ArrayList<>();
         mSamples.forEach(
                 (key, stored) -> {
@@ -57,7 +57,7 @@
         return held;
     }
 
-    long bytes() {
+    long totalBytes() {
         return mBytes;
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/ServiceTimes.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/ServiceTimes.java
@@ -13,11 +13,11 @@
     private static final int WINDOW = 128;
     private static final double MEDIAN = 0.5;
 
-    private final Map<ClassName, DecayingQuantile> mByClass = new HashMap<>();
+    private final Map<ClassName, RotatingHistogram> mByClass = new HashMap<>();
 
     /** Adds the measured service time of one attempt, in milliseconds. */
     public void add(ClassName name, long millis) {
-        mByClass.computeIfAbsent(name, key -> DecayingQuantile.create(WINDOW)).add(millis);
+        mByClass.computeIfAbsent(name, key -> RotatingHistogram.create(WINDOW)).add(millis);
     }
 
     /** Returns the median service time in milliseconds; zero while nothing is known. */
@@ -27,13 +27,13 @@
 
     /** Returns the mean service time in milliseconds; zero while nothing is known. */
     public double meanMillis(ClassName name) {
-        DecayingQuantile known = mByClass.get(name);
+        RotatingHistogram known = mByClass.get(name);
         return known == null ? 0 : known.mean(0);
     }
 
     /** Returns a quantile of the service time in milliseconds; zero while nothing is known. */
     public long quantileMillis(ClassName name, double q) {
-        DecayingQuantile known = mByClass.get(name);
+        RotatingHistogram known = mByClass.get(name);
         return known == null ? 0 : known.quantile(q, 0);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/StepOwners.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/StepOwners.java
@@ -32,17 +32,17 @@
 
     /** Returns whether a fence is below the one that is known for a step. */
     boolean isFenced(StepKey step, long fence) {
-        return fence < fence(step);
+        return fence < highestFence(step);
     }
 
     /** Returns the highest fence seen of a step; zero if none. */
-    long fence(StepKey step) {
+    long highestFence(StepKey step) {
         Owner owner = mOwners.get(step);
         return owner == null ? 0 : owner.fence();
     }
 
     /** Takes note of an owner that is not fenced. */
-    void claim(StepKey step, long link, long fence, long now) {
+    void setOwner(StepKey step, long link, long fence, long now) {
         mOwners.put(step, new Owner(link, fence, now));
     }
 
@@ -57,13 +57,13 @@
     }
 
     /** Returns the link of a step's owner, or the fallback if none is known. */
-    long link(StepKey step, long fallback) {
+    long ownerLink(StepKey step, long fallback) {
         Owner owner = mOwners.get(step);
         return owner == null ? fallback : owner.link();
     }
 
     /** Removes and returns the steps whose owners have been silent for half an hour. */
-    List<StepKey> takeOrphans(long now) {
+    List<StepKey> removeOrphans(long now) {
         List<StepKey> orphans = new ArrayList<>();
         mOwners.forEach(
                 (step, owner) -> {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/TokenCounterAdmission.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/TokenCounterAdmission.java
@@ -13,7 +13,7 @@
     private long mSampleTokens;
 
     @Override
-    public int room(int slots, int calls, int samples, long now) {
+    public int admissibleSamples(int slots, int calls, int samples, long now) {
         if (calls == 0) {
             mCallTokens = Math.max(mCallTokens, mSampleTokens);
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Step.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Step.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.base.result.FaultCode;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.core.attempt.AttemptMessage;
-import org.ebonyrun.core.attempt.DecayingQuantile;
+import org.ebonyrun.core.attempt.RotatingHistogram;
 import org.ebonyrun.core.attempt.SampleInfo;
 import org.ebonyrun.core.attempt.WorkKind;
 import org.ebonyrun.core.config.ClassSpec;
@@ -39,7 +39,7 @@
     private final StepManifest mManifest;
     private final CompletionBodies mBodies;
     private final StragglerPolicy mStragglers;
-    private final DecayingQuantile mDurations = DecayingQuantile.create(256);
+    private final RotatingHistogram mDurations = RotatingHistogram.create(256);
     private final RolloutOutputs mOutputs;
     private final long mFence;
     private final long mStartedAt;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/DispatchOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/DispatchOutputs.java
@@ -12,20 +12,20 @@
     boolean send(VmId vm, AttemptMessage message);
 
     /** Passes a piece of a streaming answer on. */
-    void piece(Work work, byte[] data);
+    void onPiece(Work work, byte[] data);
 
     /** Ends a call with its whole answer. */
-    void answered(Work work, Answer answer);
+    void onAnswer(Work work, Answer answer);
 
     /** Ends a sample: it is finished and held by {@code vm}. */
-    void sampled(Work work, VmId vm, SampleInfo info);
+    void onSampleFinished(Work work, VmId vm, SampleInfo info);
 
     /** Reports a finished sample of an attempt that this process did not start. */
-    void found(VmId vm, SampleKey key, SampleInfo info);
+    void onUntrackedSampleFinished(VmId vm, SampleKey key, SampleInfo info);
 
     /** Takes note that a call is tried again. */
-    default void retried(Work work) {}
+    default void onRetry(Work work) {}
 
     /** Ends work that will not be tried again. */
-    void failed(Work work, Fault fault);
+    void onFault(Work work, Fault fault);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatcher.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatcher.java
@@ -44,9 +44,9 @@
     private final EndpointChooser mChooser;
     private final DispatchOutputs mOutputs;
     private final Map<VmId, EndpointView> mEndpoints = new TreeMap<>();
-    private final Map<AttemptId, Dispatched> mAttempts = new HashMap<>();
-    private final Map<Long, Dispatched> mWorks = new HashMap<>();
-    private final TreeMap<Work, Dispatched> mWaitingSamples =
+    private final Map<AttemptId, PendingWork> mAttempts = new HashMap<>();
+    private final Map<Long, PendingWork> mWorks = new HashMap<>();
+    private final TreeMap<Work, PendingWork> mWaitingSamples =
             new TreeMap<>(Comparator.comparingLong(Work::targetAt).thenComparingLong(Work::id));
     private final Map<ClassName, RetryBudget> mBudgets = new HashMap<>();
     private final Map<TrainerId, Long> mMinVersions = new HashMap<>();
@@ -72,7 +72,7 @@
 
     /** Begins a piece of work. */
     public void submit(Work work, long now) {
-        Dispatched dispatched = new Dispatched(work);
+        PendingWork dispatched = new PendingWork(work);
         mWorks.put(work.id(), dispatched);
         if (work.isSample()) {
             mWaitingSamples.put(work, dispatched);
@@ -84,8 +84,8 @@
     }
 
     /** Forgets a piece of work, whose attempt another owner takes over. */
-    public void abandon(long workId) {
-        Dispatched dispatched = mWorks.get(workId);
+    public void detach(long workId) {
+        PendingWork dispatched = mWorks.get(workId);
         if (dispatched != null) {
             end(dispatched);
         }
@@ -93,7 +93,7 @@
 
     /** Gives a piece of work up without an answer. */
     public void cancel(long workId) {
-        Dispatched dispatched = mWorks.get(workId);
+        PendingWork dispatched = mWorks.get(workId);
         if (dispatched == null) {
             return;
         }
@@ -108,7 +108,7 @@
     }
 
     /** Takes note that an endpoint may or may not get new work. */
-    public void onUsable(
+    public void setEndpointUsable(
             VmId vm, ServiceName service, FailureDomain domain, boolean usable, long now) {
         EndpointView view =
                 mEndpoints.computeIfAbsent(vm, key -> EndpointView.create(vm, service, domain));
@@ -119,13 +119,13 @@
     /** Takes note that the link to an endpoint is lost: its open attempts may have run. */
     public void onLinkLost(VmId vm, long now) {
         mEndpoints.remove(vm);
-        List<Dispatched> lost = new ArrayList<>();
-        for (Dispatched dispatched : mAttempts.values()) {
+        List<PendingWork> lost = new ArrayList<>();
+        for (PendingWork dispatched : mAttempts.values()) {
             if (vm.equals(dispatched.mVm)) {
                 lost.add(dispatched);
             }
         }
-        for (Dispatched dispatched : lost) {
+        for (PendingWork dispatched : lost) {
             Fault fault =
                     Fault.unknown(
                             FaultCode.PEER_LOST, "agent.link", vm.value(), "the link was lost");
@@ -145,7 +145,7 @@
             onRefused(vm, refused, now);
         } else if (message instanceof AttemptMessage.Failed failed) {
             onLoad(vm, failed.load());
-            Dispatched dispatched = open(vm, failed.id());
+            PendingWork dispatched = open(vm, failed.id());
             if (dispatched != null) {
                 onAttemptFailed(dispatched, failed.fault(), now);
             }
@@ -168,8 +168,8 @@
 
     @Override
     public void onTick(long now) {
-        for (Dispatched dispatched : List.copyOf(mWorks.values())) {
-            if (now - dispatched.mWork.giveUpAt() >= 0) {
+        for (PendingWork dispatched : List.copyOf(mWorks.values())) {
+            if (now - dispatched.mWork.deadline() >= 0) {
                 timeOut(dispatched);
             }
         }
@@ -187,7 +187,11 @@
         for (EndpointView view : mEndpoints.values()) {
             endpoints.add(
                     new EndpointDump(
-                            view.vm(), view.service(), view.isUsable(), view.free(), view.load()));
+                            view.vm(),
+                            view.service(),
+                            view.isUsable(),
+                            view.freeSlots(),
+                            view.load()));
         }
         return new Dump(
                 mWorks.size(),
@@ -236,7 +240,7 @@
     }
 
     private void onPiece(VmId vm, AttemptMessage.Piece piece, long now) {
-        Dispatched dispatched = open(vm, piece.id());
+        PendingWork dispatched = open(vm, piece.id());
         if (dispatched == null) {
             return;
         }
@@ -249,15 +253,15 @@
         }
         dispatched.mPieces++;
         if (dispatched.mWork.streaming()) {
-            dispatched.mPassedOn = true;
-            mOutputs.piece(dispatched.mWork, piece.data());
+            dispatched.mPieceForwarded = true;
+            mOutputs.onPiece(dispatched.mWork, piece.data());
         } else {
             dispatched.mBody.writeBytes(piece.data());
         }
     }
 
     private void onDone(VmId vm, AttemptMessage.Done done, long now) {
-        Dispatched dispatched = open(vm, done.id());
+        PendingWork dispatched = open(vm, done.id());
         if (dispatched == null) {
             return;
         }
@@ -276,16 +280,16 @@
                         vm);
         measure(dispatched, done.tokens(), now);
         end(dispatched);
-        mOutputs.answered(dispatched.mWork, answer);
+        mOutputs.onAnswer(dispatched.mWork, answer);
     }
 
     private void onRefused(VmId vm, AttemptMessage.Refused refused, long now) {
-        Dispatched dispatched = open(vm, refused.id());
+        PendingWork dispatched = open(vm, refused.id());
         if (dispatched == null) {
             return;
         }
         closeAttempt(dispatched);
-        dispatched.mRefusedBy.add(vm);
+        dispatched.mExcludedVms.add(vm);
         if (dispatched.mWork.isSample()) {
             mWaitingSamples.put(dispatched.mWork, dispatched);
             return;
@@ -294,18 +298,18 @@
     }
 
     private void onSampleFinished(VmId vm, AttemptMessage.SampleFinished finished, long now) {
-        Dispatched dispatched = open(vm, finished.id());
+        PendingWork dispatched = open(vm, finished.id());
         if (dispatched == null) {
-            mOutputs.found(vm, finished.key(), finished.info());
+            mOutputs.onUntrackedSampleFinished(vm, finished.key(), finished.info());
             return;
         }
         measure(dispatched, finished.info().tokens(), now);
         end(dispatched);
-        mOutputs.sampled(dispatched.mWork, vm, finished.info());
+        mOutputs.onSampleFinished(dispatched.mWork, vm, finished.info());
     }
 
     /** Decides whether work whose attempt failed, and may have run, is tried again. */
-    private void onAttemptFailed(Dispatched dispatched, Fault fault, long now) {
+    private void onAttemptFailed(PendingWork dispatched, Fault fault, long now) {
         Work work = dispatched.mWork;
         VmId vm = dispatched.mVm;
         closeAttempt(dispatched);
@@ -319,27 +323,27 @@
             }
             return;
         }
-        boolean repeatable = work.idempotent() && !dispatched.mPassedOn;
-        if (!repeatable || !budget(work.className()).tryRetry()) {
+        boolean repeatable = work.idempotent() && !dispatched.mPieceForwarded;
+        if (!repeatable || !budget(work.className()).tryAcquire()) {
             fail(dispatched, fault);
             return;
         }
         mRetries++;
-        mOutputs.retried(work);
+        mOutputs.onRetry(work);
         if (vm != null) {
-            dispatched.mRefusedBy.add(vm);
+            dispatched.mExcludedVms.add(vm);
         }
         place(dispatched, fault, now);
     }
 
-    private void measure(Dispatched dispatched, int tokens, long now) {
+    private void measure(PendingWork dispatched, int tokens, long now) {
         EndpointView view = dispatched.mVm == null ? null : mEndpoints.get(dispatched.mVm);
         if (view != null) {
-            view.onEnded(tokens, now - dispatched.mOfferedAt, now);
+            view.recordLatency(tokens, now - dispatched.mOfferedAt, now);
         }
     }
 
-    private void place(Dispatched dispatched, @Nullable Fault last, long now) {
+    private void place(PendingWork dispatched, @Nullable Fault last, long now) {
         Work work = dispatched.mWork;
         while (true) {
             List<EndpointView> candidates = candidates(dispatched, 0, now);
@@ -351,7 +355,7 @@
             if (offer(dispatched, view, 0, now)) {
                 return;
             }
-            dispatched.mRefusedBy.add(view.vm());
+            dispatched.mExcludedVms.add(view.vm());
         }
     }
 
@@ -360,7 +364,7 @@
             return;
         }
         Map<ServiceName, Boolean> full = new HashMap<>();
-        for (Dispatched dispatched : List.copyOf(mWaitingSamples.values())) {
+        for (PendingWork dispatched : List.copyOf(mWaitingSamples.values())) {
             Work work = dispatched.mWork;
             if (full.containsKey(work.service())) {
                 continue;
@@ -369,7 +373,7 @@
             List<EndpointView> candidates = candidates(dispatched, minVersion, now);
             EndpointView view = mChooser.choose(work, candidates, now).orElse(null);
             if (view == null) {
-                dispatched.mRefusedBy.clear();
+                dispatched.mExcludedVms.clear();
                 full.put(work.service(), Boolean.TRUE);
             } else if (offer(dispatched, view, minVersion, now)) {
                 mWaitingSamples.remove(work);
@@ -377,14 +381,14 @@
         }
     }
 
-    private List<EndpointView> candidates(Dispatched dispatched, long minVersion, long now) {
+    private List<EndpointView> candidates(PendingWork dispatched, long minVersion, long now) {
         Work work = dispatched.mWork;
         List<EndpointView> candidates = new ArrayList<>();
         for (EndpointView view : mEndpoints.values()) {
             boolean fits =
                     view.isUsable()
                             && view.service().equals(work.service())
-                            && !dispatched.mRefusedBy.contains(view.vm());
+                            && !dispatched.mExcludedVms.contains(view.vm());
             boolean fresh = view.load().version() >= minVersion;
             boolean room = !work.isSample() || view.sampleRoom(now - work.targetAt() >= 0) > 0;
             if (fits && fresh && room) {
@@ -394,7 +398,7 @@
         return candidates;
     }
 
-    private boolean offer(Dispatched dispatched, EndpointView view, long minVersion, long now) {
+    private boolean offer(PendingWork dispatched, EndpointView view, long minVersion, long now) {
         Work work = dispatched.mWork;
         AttemptId id = new AttemptId(mIncarnation, mCounter++);
         Job job =
@@ -403,7 +407,7 @@
                         work.className(),
                         work.targetQuantile(),
                         Nanos.toMillis(work.targetAt() - now),
-                        Nanos.toMillis(work.giveUpAt() - now),
+                        Nanos.toMillis(work.deadline() - now),
                         work.idempotent(),
                         work.path(),
                         work.contentType(),
@@ -414,8 +418,8 @@
         if (!mOutputs.send(view.vm(), new AttemptMessage.Offer(id, job))) {
             return false;
         }
-        dispatched.reset();
-        dispatched.mAttempt = id;
+        dispatched.resetAttempt();
+        dispatched.mAttemptId = id;
         dispatched.mVm = view.vm();
         dispatched.mOfferedAt = now;
         mAttempts.put(id, dispatched);
@@ -428,8 +432,8 @@
         return sample == null ? 0 : mMinVersions.getOrDefault(sample.trainer(), 0L);
     }
 
-    private @Nullable Dispatched open(VmId vm, AttemptId id) {
-        Dispatched dispatched = mAttempts.get(id);
+    private @Nullable PendingWork open(VmId vm, AttemptId id) {
+        PendingWork dispatched = mAttempts.get(id);
         if (dispatched == null || !vm.equals(dispatched.mVm)) {
             mUnknownMessages++;
             return null;
@@ -437,8 +441,8 @@
         return dispatched;
     }
 
-    private void timeOut(Dispatched dispatched) {
-        boolean mayHaveRun = dispatched.mMayHaveRun || dispatched.mAttempt != null;
+    private void timeOut(PendingWork dispatched) {
+        boolean mayHaveRun = dispatched.mMayHaveRun || dispatched.mAttemptId != null;
         cancelAttempt(dispatched);
         String detail = "the work was not done in time";
         fail(
@@ -448,27 +452,27 @@
                         : Fault.notRun(FaultCode.DEADLINE, "entry.wait", "", detail));
     }
 
-    private void fail(Dispatched dispatched, Fault fault) {
+    private void fail(PendingWork dispatched, Fault fault) {
         end(dispatched);
         boolean claimsNotRun = fault.isNotRun() && dispatched.mMayHaveRun;
-        mOutputs.failed(
+        mOutputs.onFault(
                 dispatched.mWork, claimsNotRun ? fault.withOutcome(Outcome.UNKNOWN) : fault);
     }
 
-    private void cancelAttempt(Dispatched dispatched) {
-        if (dispatched.mAttempt != null && dispatched.mVm != null) {
-            mOutputs.send(dispatched.mVm, new AttemptMessage.CancelAttempt(dispatched.mAttempt));
+    private void cancelAttempt(PendingWork dispatched) {
+        if (dispatched.mAttemptId != null && dispatched.mVm != null) {
+            mOutputs.send(dispatched.mVm, new AttemptMessage.CancelAttempt(dispatched.mAttemptId));
         }
     }
 
-    private void closeAttempt(Dispatched dispatched) {
-        if (dispatched.mAttempt != null) {
-            mAttempts.remove(dispatched.mAttempt);
+    private void closeAttempt(PendingWork dispatched) {
+        if (dispatched.mAttemptId != null) {
+            mAttempts.remove(dispatched.mAttemptId);
         }
-        dispatched.reset();
+        dispatched.resetAttempt();
     }
 
-    private void end(Dispatched dispatched) {
+    private void end(PendingWork dispatched) {
         closeAttempt(dispatched);
         mWaitingSamples.remove(dispatched.mWork);
         mWorks.remove(dispatched.mWork.id());
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/EndpointView.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/EndpointView.java
@@ -63,8 +63,8 @@
     }
 
     /** Returns how many calls would start at once, by what is known here. */
-    public int free() {
-        return mLoad.free() - mCallsSince - mSamplesSince;
+    public int freeSlots() {
+        return mLoad.freeSlots() - mCallsSince - mSamplesSince;
     }
 
     /** Returns how many samples would be taken, by what is known here. */
@@ -91,7 +91,7 @@
     }
 
     /** Takes note of an attempt that ended with {@code tokens} tokens after {@code nanos}. */
-    void onEnded(int tokens, long nanos, long now) {
+    void recordLatency(int tokens, long nanos, long now) {
         if (tokens <= 0) {
             return;
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/LeastLoadChooser.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/LeastLoadChooser.java
@@ -52,10 +52,12 @@
                         .orElse(0);
         Comparator<EndpointView> bySpeed =
                 Comparator.comparing(
-                        view -> view.free() > 0 && view.millisPerToken(now) <= fastest * SLOWNESS);
+                        view ->
+                                view.freeSlots() > 0
+                                        && view.millisPerToken(now) <= fastest * SLOWNESS);
         return candidates.stream()
                 .max(
-                        bySpeed.thenComparingInt(EndpointView::free)
+                        bySpeed.thenComparingInt(EndpointView::freeSlots)
                                 .thenComparing(view -> view.failureDomain().equals(mDomain))
                                 .thenComparing(EndpointView::vm));
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatched.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/PendingWork.java
@@ -8,25 +8,25 @@
 import org.jspecify.annotations.Nullable;
 
 /** Work in progress at an entry. Not thread safe; confined to the dispatch duty. */
-final class Dispatched {
+final class PendingWork {
     final Work mWork;
-    final Set<VmId> mRefusedBy = new HashSet<>();
+    final Set<VmId> mExcludedVms = new HashSet<>();
     final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
-    @Nullable AttemptId mAttempt;
+    @Nullable AttemptId mAttemptId;
     @Nullable VmId mVm;
     long mOfferedAt;
     int mPieces;
     int mFailures;
-    boolean mPassedOn;
+    boolean mPieceForwarded;
     boolean mMayHaveRun;
 
-    Dispatched(Work work) {
+    PendingWork(Work work) {
         mWork = work;
     }
 
     /** Forgets what the last attempt brought. */
-    void reset() {
-        mAttempt = null;
+    void resetAttempt() {
+        mAttemptId = null;
         mVm = null;
         mPieces = 0;
         mBody.reset();
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/RetryBudget.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/RetryBudget.java
@@ -37,7 +37,7 @@
     }
 
     /** Takes one retry from the budget; returns false if there is none. */
-    public boolean tryRetry() {
+    public boolean tryAcquire() {
         if (mTokens < 1) {
             return false;
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Work.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Work.java
@@ -36,7 +36,7 @@
         double targetQuantile,
         long arrivedAt,
         long targetAt,
-        long giveUpAt,
+        long deadline,
         boolean idempotent,
         boolean streaming,
         String path,
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/attempt/CallReserveTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/attempt/CallReserveTest.java
@@ -16,17 +16,17 @@
     @ParameterizedTest
     @CsvSource({"0, 0", "1, 2", "2, 4", "9, 4"})
     void keepsTheMeanAndADeviationUpToHalf(int calls, int slots) {
-        mReserve.onCalls(calls, 0);
-        assertThat(mReserve.slots(8, LATER), is(slots));
+        mReserve.updateOpenCalls(calls, 0);
+        assertThat(mReserve.reservedSlots(8, LATER), is(slots));
     }
 
     @Test
     void givesSlotsUpWhileCallsAreInTime() {
-        mReserve.onCalls(1, 0);
+        mReserve.updateOpenCalls(1, 0);
         for (int i = 0; i < 2_000; i++) {
             mReserve.onCallEnd(true, 0.99);
         }
-        assertThat(mReserve.slots(8, LATER), is(0));
+        assertThat(mReserve.reservedSlots(8, LATER), is(0));
     }
 
     @Test
@@ -35,16 +35,16 @@
         for (int i = 0; i < 8; i++) {
             mReserve.onCallEnd(false, 0.99);
         }
-        assertThat(mReserve.slots(8, LATER), is(2));
+        assertThat(mReserve.reservedSlots(8, LATER), is(2));
     }
 
     @Test
     void restsWhereHalfOfTheAllowedLatenessIsUsed() {
-        mReserve.onCalls(1, 0);
-        int before = mReserve.slots(8, LATER);
+        mReserve.updateOpenCalls(1, 0);
+        int before = mReserve.reservedSlots(8, LATER);
         for (int i = 0; i < 10_000; i++) {
             mReserve.onCallEnd(i % 200 != 0, 0.99);
         }
-        assertThat(mReserve.slots(8, LATER), is(before));
+        assertThat(mReserve.reservedSlots(8, LATER), is(before));
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/DispatcherTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/DispatcherTest.java
@@ -61,25 +61,25 @@
         }
 
         @Override
-        public void piece(Work work, byte[] data) {}
+        public void onPiece(Work work, byte[] data) {}
 
         @Override
-        public void answered(Work work, Answer answer) {
+        public void onAnswer(Work work, Answer answer) {
             mAnswers.add(answer);
         }
 
         @Override
-        public void sampled(Work work, VmId vm, SampleInfo info) {
+        public void onSampleFinished(Work work, VmId vm, SampleInfo info) {
             mSamples.add(info);
         }
 
         @Override
-        public void found(VmId vm, SampleKey key, SampleInfo info) {
+        public void onUntrackedSampleFinished(VmId vm, SampleKey key, SampleInfo info) {
             mFound.add(key);
         }
 
         @Override
-        public void failed(Work work, Fault fault) {
+        public void onFault(Work work, Fault fault) {
             mFaults.add(fault);
         }
 
@@ -90,8 +90,8 @@
 
     @BeforeEach
     void endpoints() {
-        mDispatcher.onUsable(NEAR, SERVICE, HALL_A, true, 0);
-        mDispatcher.onUsable(FAR, SERVICE, HALL_B, true, 0);
+        mDispatcher.setEndpointUsable(NEAR, SERVICE, HALL_A, true, 0);
+        mDispatcher.setEndpointUsable(FAR, SERVICE, HALL_B, true, 0);
         mDispatcher.onHeartbeat(NEAR, FREE, 0);
         mDispatcher.onHeartbeat(FAR, FREE, 0);
     }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/LeastLoadChooserTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/LeastLoadChooserTest.java
@@ -60,8 +60,8 @@
     }
 
     private void measureBoth() {
-        mSlow.onEnded(10, SECOND, 0);
-        mFast.onEnded(10, SECOND / 3, 0);
+        mSlow.recordLatency(10, SECOND, 0);
+        mFast.recordLatency(10, SECOND / 3, 0);
     }
 
     private String choose(Work work, long now) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
@@ -109,7 +109,7 @@
         MonotonicClock clock = MonotonicClock.system();
         AttemptLimits limits =
                 new AttemptLimits(
-                        INITIAL_SLOTS, AttemptLimits.DEFAULT_QUEUED, settings.maxHeldBytes());
+                        INITIAL_SLOTS, AttemptLimits.DEFAULT_MAX_QUEUED, settings.maxHeldBytes());
         mAttempts =
                 AttemptMachine.create(
                         settings.vm(), limits, AttemptPolicy.standard(), new AttemptHandler());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void piece(Work work, byte[] data) {
+    public void onPiece(Work work, byte[] data) {
         CallListener sink = mContext.mCallListeners.get(work.id());
         if (sink != null) {
             sink.onPiece(data);
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void answered(Work work, Answer answer) {
+    public void onAnswer(Work work, Answer answer) {
         long now = System.nanoTime();
         mContext.mTargetMonitor.onAnswered(work, now - work.arrivedAt(), now);
         CallListener sink = mContext.mCallListeners.remove(work.id());
@@ -43,25 +43,25 @@
     }
 
     @Override
-    public void sampled(Work work, VmId vm, SampleInfo info) {
+    public void onSampleFinished(Work work, VmId vm, SampleInfo info) {
         SampleKey key = work.sample();
         if (key != null) {
-            found(vm, key, info);
+            onUntrackedSampleFinished(vm, key, info);
         }
     }
 
     @Override
-    public void found(VmId vm, SampleKey key, SampleInfo info) {
+    public void onUntrackedSampleFinished(VmId vm, SampleKey key, SampleInfo info) {
         mContext.mRolloutLoop.post((machine, now) -> machine.onFinished(vm, key, info, now));
     }
 
     @Override
-    public void retried(Work work) {
+    public void onRetry(Work work) {
         mContext.mMetrics.recordRetry(work.className().value());
     }
 
     @Override
-    public void failed(Work work, Fault fault) {
+    public void onFault(Work work, Fault fault) {
         SampleKey key = work.sample();
         if (key != null) {
             mContext.mRolloutLoop.post((machine, now) -> machine.onSampleFailed(key, now));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryPeerListener.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryPeerListener.java
@@ -113,7 +113,7 @@
         }
         if (load != null) {
             ServiceName service = ServiceName.of(hello.service());
-            mContext.mMetrics.setFreeCapacity(vm.value(), load.free(), load.sampleRoom());
+            mContext.mMetrics.setFreeCapacity(vm.value(), load.freeSlots(), load.sampleRoom());
             mContext.mDispatchLoop.post((machine, now) -> machine.onHeartbeat(vm, load, now));
             mContext.mPlannerLoop.post(
                     (machine, now) -> machine.onVersion(vm, service, load.version(), true));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/MembershipOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/MembershipOutputHandler.java
@@ -53,6 +53,7 @@
         ServiceName service = ServiceName.of(peer.service());
         mContext.mDispatchLoop.post(
                 (machine, now) ->
-                        machine.onUsable(peer.vm(), service, peer.failureDomain(), usable, now));
+                        machine.setEndpointUsable(
+                                peer.vm(), service, peer.failureDomain(), usable, now));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
@@ -97,7 +97,7 @@
 
     @Override
     public void abandon(long workId) {
-        mContext.mDispatchLoop.post((machine, now) -> machine.abandon(workId));
+        mContext.mDispatchLoop.post((machine, now) -> machine.detach(workId));
     }
 
     @Override
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Policies.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Policies.java
@@ -24,8 +24,7 @@
         AttemptPolicy noReserve =
                 new AttemptPolicy(standard.order(), SampleAdmission::freeSlots, true);
         AttemptPolicy noRefusal = new AttemptPolicy(standard.order(), standard.admission(), false);
-        AttemptPolicy noLaxity =
-                new AttemptPolicy(QueueOrder.arrival(), standard.admission(), true);
+        AttemptPolicy noLaxity = new AttemptPolicy(QueueOrder.fifo(), standard.admission(), true);
         return List.of(
                 PolicyChoice.standard(),
                 ours("without call reserve", noReserve, StragglerPolicy.tail(), 0),
@@ -44,7 +43,7 @@
     private static PolicyChoice arrival() {
         return new PolicyChoice(
                 "arrival, round robin",
-                new AttemptPolicy(QueueOrder.arrival(), SampleAdmission::freeSlots, false),
+                new AttemptPolicy(QueueOrder.fifo(), SampleAdmission::freeSlots, false),
                 domain -> new RoundRobinChooser(),
                 StragglerPolicy.never());
     }
@@ -60,7 +59,7 @@
     private static PolicyChoice tokenCounter() {
         return new PolicyChoice(
                 "token counter",
-                new AttemptPolicy(QueueOrder.arrival(), SampleAdmission::tokenCounter, false),
+                new AttemptPolicy(QueueOrder.fifo(), SampleAdmission::tokenCounter, false),
                 domain -> LeastLoadChooser.withSlack(domain, 0),
                 StragglerPolicy.never());
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
@@ -96,7 +96,7 @@
         mEngine.connect(new Events());
         AttemptLimits limits =
                 new AttemptLimits(
-                        0, AttemptLimits.DEFAULT_QUEUED, AttemptLimits.DEFAULT_HELD_BYTES);
+                        0, AttemptLimits.DEFAULT_MAX_QUEUED, AttemptLimits.DEFAULT_MAX_HELD_BYTES);
         mAttempts = AttemptMachine.create(mVm, limits, mWorld.mPolicy.attempts(), new Attempts());
         mSwap = SwapMachine.create(mVm, new Swaps());
         mConfig = ConfigMachine.create(new Configs());
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDispatch.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDispatch.java
@@ -24,28 +24,28 @@
     }
 
     @Override
-    public void piece(Work work, byte[] data) {}
+    public void onPiece(Work work, byte[] data) {}
 
     @Override
-    public void answered(Work work, Answer answer) {
+    public void onAnswer(Work work, Answer answer) {
         mEntry.callAnswered(work, answer.body(), answer.tokens());
     }
 
     @Override
-    public void sampled(Work work, VmId vm, SampleInfo info) {
+    public void onSampleFinished(Work work, VmId vm, SampleInfo info) {
         SampleKey key = work.sample();
         if (key != null) {
-            found(vm, key, info);
+            onUntrackedSampleFinished(vm, key, info);
         }
     }
 
     @Override
-    public void found(VmId vm, SampleKey key, SampleInfo info) {
+    public void onUntrackedSampleFinished(VmId vm, SampleKey key, SampleInfo info) {
         mEntry.post(() -> mEntry.mRollout.onFinished(vm, key, info, mEntry.now()));
     }
 
     @Override
-    public void failed(Work work, Fault fault) {
+    public void onFault(Work work, Fault fault) {
         SampleKey key = work.sample();
         if (key == null) {
             mEntry.callFailed(work, fault);
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualMembership.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualMembership.java
@@ -41,7 +41,7 @@
             ServiceName service = ServiceName.of(peer.service());
             mEntry.post(
                     () ->
-                            mEntry.mDispatcher.onUsable(
+                            mEntry.mDispatcher.setEndpointUsable(
                                     peer.vm(),
                                     service,
                                     peer.failureDomain(),
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRollout.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRollout.java
@@ -84,7 +84,7 @@
 
     @Override
     public void abandon(long workId) {
-        mEntry.post(() -> mEntry.mDispatcher.abandon(workId));
+        mEntry.post(() -> mEntry.mDispatcher.detach(workId));
     }
 
     @Override
