--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ClassSpec.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ClassSpec.java
@@ -5,16 +5,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A class of work and the targets that operators state for it.
+ * A class of work and the targets that operators set for it.
  *
  * @param name the class
  * @param service the service that runs the work
- * @param kind who waits
- * @param latenessQuantile the share of answers that must be in time; zero for rollouts
- * @param latenessMillis how late that share may be, in milliseconds; zero for rollouts
- * @param idempotent whether a request may run twice unless it says otherwise
- * @param stalenessVersions the greatest age of a delivered sample, in versions; rollouts only
- * @param trainerIdleMillis tolerated idle time of the trainer per step, in milliseconds
+ * @param kind who waits for the results
+ * @param latenessQuantile the share of answered calls that must meet the target latency; zero for
+ *     rollouts
+ * @param latenessMillis the target latency in milliseconds; zero for rollouts
+ * @param idempotent whether a request may run more than once, unless its headers specify it
+ * @param stalenessVersions the maximum age of a delivered sample, in versions; rollouts only
+ * @param trainerIdleMillis the accepted idle time of the trainer per step, in milliseconds
  * @param scorer the service that scores samples, or null
  */
 public record ClassSpec(
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMachine.java
@@ -3,25 +3,25 @@
 import org.ebonyrun.base.eventloop.Ticking;
 
 /**
- * Holds the newest configuration that this process has seen, from any source.
+ * Holds the newest configuration that this process has received from any source.
  *
- * <p>Versions travel on heartbeats both ways, texts only when asked for.
+ * <p>Heartbeats carry the version in both directions. The text is sent only on request.
  *
  * <p>Invariant: the version never decreases. A text that does not parse is not adopted.
  *
- * <p>Not thread safe; confined to the configuration duty.
+ * <p>Not thread safe; confined to the configuration event loop.
  */
 public final class ConfigMachine implements Ticking {
     private final ConfigOutputs mOutputs;
     private OperatorConfig mConfig = OperatorConfig.empty();
     private String mText = "";
-    private long mRejected;
+    private long mRejectedCount;
 
     private ConfigMachine(ConfigOutputs outputs) {
         mOutputs = outputs;
     }
 
-    /** Creates a machine that knows no configuration. */
+    /** Creates a machine that has no configuration yet. */
     public static ConfigMachine create(ConfigOutputs outputs) {
         return new ConfigMachine(outputs);
     }
@@ -36,9 +36,9 @@
         return mText;
     }
 
-    /** Returns how many texts were offered that could not be adopted for their faults. */
+    /** Returns how many newer texts were rejected because they are not valid. */
     public long rejectedCount() {
-        return mRejected;
+        return mRejectedCount;
     }
 
     /** Adopts a configuration if it is newer than the one in force. */
@@ -48,7 +48,7 @@
         }
         ConfigParser.Parsed parsed = ConfigParser.parse("config", text, version);
         if (!parsed.isValid()) {
-            mRejected++;
+            mRejectedCount++;
             return;
         }
         mConfig = parsed.config();
@@ -57,8 +57,9 @@
     }
 
     /**
-     * Handles the version that a peer states on its heartbeats. A peer that is behind is left to
-     * ask: it hears of the newer version from each of its links, and one text is enough.
+     * Handles the version on a peer's heartbeat. A peer with an older version gets no text unless
+     * it requests one: all its peers report the newer version to it, and it needs the text only
+     * once.
      */
     public void onPeerVersion(long link, long version) {
         if (version > mConfig.version()) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Handles a message of a peer. */
+    /** Handles a configuration message of a peer. */
     public void onMessage(long link, ConfigMessage message) {
         if (message instanceof ConfigMessage.ConfigUpdate update) {
             onConfig(update.version(), update.text());
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMessage.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMessage.java
@@ -2,10 +2,10 @@
 
 import org.ebonyrun.base.wire.Message;
 
-/** Messages that spread the operators' configuration between processes. Immutable. */
+/** Messages that distribute the operators' configuration between processes. Immutable. */
 public sealed interface ConfigMessage extends Message {
     /**
-     * Asks a peer for its configuration.
+     * Requests a peer's configuration.
      *
      * @param knownVersion the version that the sender has
      */
@@ -14,7 +14,7 @@
     /**
      * Carries a configuration.
      *
-     * @param version the version
+     * @param version the version of the configuration
      * @param text the YAML text
      */
     record ConfigUpdate(long version, String text) implements ConfigMessage {}
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigOutputs.java
@@ -1,12 +1,12 @@
 package org.ebonyrun.core.config;
 
-/** What the configuration duty does to the world. Called on the duty's thread. */
+/** The outputs of the configuration machine. Called on its event loop. */
 public interface ConfigOutputs {
-    /** Sends a message to one peer, identified by its link number. */
+    /** Sends a message to the peer on the link with the given number. */
     void send(long link, ConfigMessage message);
 
     /**
-     * Announces a newly adopted configuration to every other duty; peers hear of its version with
+     * Passes a newly adopted configuration to the other event loops. Peers receive its version on
      * the next heartbeats.
      */
     void onConfigAdopted(OperatorConfig config, String text);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigParser.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigParser.java
@@ -14,7 +14,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads and checks the operators' configuration as a whole.
+ * Parses the operators' configuration and checks all of it.
  *
  * <p>Not thread safe; one parser reads one file.
  */
@@ -31,9 +31,9 @@
                     "trainer_idle",
                     "scored_by");
     private static final Set<String> LATENESS_KEYS = Set.of("quantile", "within");
-    private static final Set<String> MECHANISM_KEYS =
+    private static final Set<String> DISALLOWED_TUNING_KEYS =
             Set.of("weight", "weights", "priority", "priorities", "address", "addresses", "share");
-    private static final String PLACEHOLDER = "invalid";
+    private static final String INVALID_NAME = "invalid";
 
     private final List<Problem> mProblems = new ArrayList<>();
     private final Map<ServiceName, ServiceSpec> mServices = new LinkedHashMap<>();
@@ -41,7 +41,7 @@
 
     private ConfigParser() {}
 
-    /** Reads a file; the configuration is valid when the list of problems is empty. */
+    /** Parses a file. The configuration is valid if the list of problems is empty. */
     public static Parsed parse(String file, String text, long version) {
         ConfigParser parser = new ConfigParser();
         SettingsNode root = SettingsNode.parse(file, text, parser.mProblems);
@@ -53,10 +53,10 @@
     }
 
     /**
-     * A configuration and what is wrong with it.
+     * A configuration and its problems.
      *
-     * @param config what could be read
-     * @param problems every fault found; empty for a valid configuration
+     * @param config the part of the configuration that could be parsed
+     * @param problems all problems found; empty for a valid configuration
      */
     public record Parsed(OperatorConfig config, List<Problem> problems) {
         /** Returns whether the configuration may be accepted. */
@@ -83,8 +83,8 @@
 
     private void readService(String key, SettingsNode node) {
         checkKeys(node, SERVICE_KEYS);
-        @Nullable ServiceName name = serviceName(node, key);
-        ServiceKind kind = node.get("kind").read(ConfigParser::serviceKind, ServiceKind.PLAIN);
+        @Nullable ServiceName name = parseServiceName(node, key);
+        ServiceKind kind = node.get("kind").read(ConfigParser::parseServiceKind, ServiceKind.PLAIN);
         if (!node.get("kind").isPresent()) {
             node.addProblem("kind is missing; write engine or plain");
         }
@@ -95,14 +95,14 @@
 
     private void readClass(String key, SettingsNode node) {
         checkKeys(node, CLASS_KEYS);
-        int before = mProblems.size();
-        ClassName name = className(node, key);
-        ClassKind kind = node.get("kind").read(ConfigParser::classKind, ClassKind.BACKGROUND);
+        int problemsBefore = mProblems.size();
+        ClassName name = parseClassName(node, key);
+        ClassKind kind = node.get("kind").read(ConfigParser::parseClassKind, ClassKind.BACKGROUND);
         if (!node.get("kind").isPresent()) {
             node.addProblem("kind is missing; write interactive, background or rollout");
         }
-        @Nullable ServiceSpec service = service(node.get("service"), true);
-        @Nullable ServiceSpec scorer = service(node.get("scored_by"), false);
+        @Nullable ServiceSpec service = resolveService(node.get("service"), true);
+        @Nullable ServiceSpec scorer = resolveService(node.get("scored_by"), false);
         SettingsNode lateness = node.get("lateness");
         lateness.checkKeys(LATENESS_KEYS);
         double quantile = lateness.get("quantile").read(ValueParser::parseQuantile, 0.0);
@@ -111,7 +111,7 @@
         long idle = node.get("trainer_idle").read(ValueParser::parseMillis, 0L);
         boolean idempotent = node.get("idempotent").read(ValueParser::parseBoolean, true);
         checkTargets(node, kind, service);
-        if (service != null && mProblems.size() == before) {
+        if (service != null && mProblems.size() == problemsBefore) {
             mClasses.put(
                     name,
                     new ClassSpec(
@@ -164,7 +164,7 @@
         node.children()
                 .forEach(
                         (key, child) -> {
-                            if (MECHANISM_KEYS.contains(key)) {
+                            if (DISALLOWED_TUNING_KEYS.contains(key)) {
                                 child.addProblem(
                                         "is decided by the system; state targets instead"
                                                 + " (lateness, staleness, trainer_idle)");
@@ -177,14 +177,14 @@
                         });
     }
 
-    private @Nullable ServiceSpec service(SettingsNode node, boolean required) {
+    private @Nullable ServiceSpec resolveService(SettingsNode node, boolean required) {
         if (!node.isPresent()) {
             if (required) {
                 node.addProblem("is missing; name one of the services");
             }
             return null;
         }
-        @Nullable ServiceName name = serviceName(node, node.text(PLACEHOLDER));
+        @Nullable ServiceName name = parseServiceName(node, node.text(INVALID_NAME));
         ServiceSpec found = name == null ? null : mServices.get(name);
         if (name != null && found == null) {
             node.addProblem("no service is called '" + name + "'; known: " + mServices.keySet());
@@ -192,7 +192,7 @@
         return found;
     }
 
-    private static @Nullable ServiceName serviceName(SettingsNode node, String text) {
+    private static @Nullable ServiceName parseServiceName(SettingsNode node, String text) {
         try {
             return ServiceName.of(text);
         } catch (IllegalArgumentException e) {
@@ -201,24 +201,24 @@
         }
     }
 
-    private static ClassName className(SettingsNode node, String text) {
+    private static ClassName parseClassName(SettingsNode node, String text) {
         try {
             return ClassName.of(text);
         } catch (IllegalArgumentException e) {
             node.addProblem(String.valueOf(e.getMessage()));
-            return ClassName.of(PLACEHOLDER);
+            return ClassName.of(INVALID_NAME);
         }
     }
 
-    private static ServiceKind serviceKind(String text) {
-        return constant(ServiceKind.class, text);
+    private static ServiceKind parseServiceKind(String text) {
+        return parseConstant(ServiceKind.class, text);
     }
 
-    private static ClassKind classKind(String text) {
-        return constant(ClassKind.class, text);
+    private static ClassKind parseClassKind(String text) {
+        return parseConstant(ClassKind.class, text);
     }
 
-    private static <E extends Enum<E>> E constant(Class<E> type, String text) {
+    private static <E extends Enum<E>> E parseConstant(Class<E> type, String text) {
         for (E value : type.getEnumConstants()) {
             if (value.name().toLowerCase(Locale.ROOT).equals(text)) {
                 return value;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/OperatorConfig.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/OperatorConfig.java
@@ -10,19 +10,19 @@
  *
  * <p>Immutable and thread safe.
  *
- * @param version the monotone version; zero before any was accepted
+ * @param version the version, which never decreases; zero before the first configuration
  * @param services all services
  * @param classes all classes of work
  */
 public record OperatorConfig(
         long version, Map<ServiceName, ServiceSpec> services, Map<ClassName, ClassSpec> classes) {
-    /** Copies the maps. */
+    /** Makes unmodifiable copies of the maps. */
     public OperatorConfig {
         services = Map.copyOf(services);
         classes = Map.copyOf(classes);
     }
 
-    /** Returns the configuration of a process that knows none yet. */
+    /** Returns the configuration of a process that has not received one yet. */
     public static OperatorConfig empty() {
         return new OperatorConfig(0, Map.of(), Map.of());
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ServiceKind.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ServiceKind.java
@@ -1,8 +1,8 @@
 package org.ebonyrun.core.config;
 
-/** What a service's endpoints are. */
+/** The kind of a service's endpoints. */
 public enum ServiceKind {
-    /** Model engines that stream completions and carry weight versions. */
+    /** Inference engines that stream completions and load weight versions. */
     ENGINE,
     /** Plain HTTP services. */
     PLAIN
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/package-info.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/package-info.java
@@ -1,4 +1,6 @@
-/** Operators' configuration: classes, targets, and its monotone spread to every process. */
+/**
+ * The operators' configuration of services, classes and targets, and its distribution to processes.
+ */
 @NullMarked
 package org.ebonyrun.core.config;
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/HeartbeatPolicy.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/HeartbeatPolicy.java
@@ -5,38 +5,39 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides when an agent sends a heartbeat to all its entries: when what it reports has changed, but
- * not too often, and otherwise just often enough to be known as alive.
+ * Decides when an agent sends a heartbeat to all its entries: soon after the reported load has
+ * changed, with a limited rate, and otherwise just often enough for the entries to regard the agent
+ * as alive. A change of the weight version, of the slots or of {@code leaving} is sent at once.
  *
- * <p>Not thread safe; confined to the attempt duty.
+ * <p>Not thread safe; confined to the attempt event loop.
  */
 public final class HeartbeatPolicy {
-    /** Least time between heartbeats whose report has changed, in nanoseconds. */
+    /** Minimum interval between heartbeats if the load has changed, in nanoseconds. */
     public static final long CHANGED_INTERVAL_NANOS = Nanos.ofMillis(500);
 
-    /** Time between heartbeats whose report is the same, in nanoseconds. */
+    /** Interval between heartbeats if the load is the same, in nanoseconds. */
     public static final long UNCHANGED_INTERVAL_NANOS = Nanos.ofMillis(1_000);
 
-    private @Nullable EndpointLoad mSent;
-    private long mSentAt;
+    private @Nullable EndpointLoad mLastSent;
+    private long mLastSentAt;
 
-    /** Creates a policy for an agent that has sent nothing. */
+    /** Creates a policy for an agent that has sent no heartbeat yet. */
     public HeartbeatPolicy() {}
 
-    /** Returns whether a heartbeat is due, and if so takes it for sent. */
+    /** Returns whether a heartbeat is due. If so, records it as sent. */
     public boolean markSentIfDue(EndpointLoad load, long now) {
-        EndpointLoad sent = mSent;
+        EndpointLoad lastSent = mLastSent;
         boolean urgent =
-                sent == null
-                        || load.leaving() != sent.leaving()
-                        || load.version() != sent.version()
-                        || load.slots() != sent.slots();
-        long pause = load.equals(sent) ? UNCHANGED_INTERVAL_NANOS : CHANGED_INTERVAL_NANOS;
-        if (!urgent && now - mSentAt < pause) {
+                lastSent == null
+                        || load.leaving() != lastSent.leaving()
+                        || load.version() != lastSent.version()
+                        || load.slots() != lastSent.slots();
+        long interval = load.equals(lastSent) ? UNCHANGED_INTERVAL_NANOS : CHANGED_INTERVAL_NANOS;
+        if (!urgent && now - mLastSentAt < interval) {
             return false;
         }
-        mSent = load;
-        mSentAt = now;
+        mLastSent = load;
+        mLastSentAt = now;
         return true;
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMachine.java
@@ -14,39 +14,46 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Joins the platform's lagging list of VMs with what the process hears itself.
+ * Tracks the peers of a process. Combines the platform's list of VMs, which lags behind, with the
+ * messages that the process receives itself.
  *
- * <p>Invariants: a peer is usable only while its link is open, it was heard of within {@link
- * #SUSPECT_NANOS}, and neither it nor the list says that it is leaving. A list that can't be read
- * changes nothing. A peer that the list has dropped keeps its link while it is heard, because the
- * list lags; it goes when both are silent. A connection whose peer does not introduce itself as the
- * wanted VM, for example because its address was given to another, is tried again after a while. A
- * peer that is still listed but was assigned to other entries gets no new work here, and its link
- * is closed when what runs on it has had time to end.
+ * <p>Invariants:
  *
- * <p>Not thread safe; confined to the membership duty.
+ * <ul>
+ *   <li>A peer is usable only while its link is open, its last message is less than {@link
+ *       #SUSPECT_NANOS} old, and neither the peer nor the list reports it as leaving.
+ *   <li>A list that can't be read changes nothing.
+ *   <li>A peer that is no longer listed keeps its link while it sends messages, because the list
+ *       lags. It is removed once its link is closed.
+ *   <li>A connection attempt is repeated if the peer does not introduce itself as the expected VM,
+ *       for example because its address was reassigned to another VM.
+ *   <li>A peer that is still listed but now assigned to other entries gets no new work from this
+ *       one. Its link is closed after a grace period in which the work on it can finish.
+ * </ul>
+ *
+ * <p>Not thread safe; confined to the membership event loop.
  */
 public final class MembershipMachine implements Ticking {
-    /** Silence after which a peer gets no new work, in nanoseconds. */
+    /** Time without a message after which a peer gets no new work, in nanoseconds. */
     public static final long SUSPECT_TIMEOUT_NANOS = Nanos.ofMillis(3_000);
 
-    /** Silence after which a link is closed, in nanoseconds. */
+    /** Time without a message after which a link is closed, in nanoseconds. */
     public static final long LOST_TIMEOUT_NANOS = Nanos.ofMillis(10_000);
 
-    private static final long RETIRE_NANOS = Nanos.ofMillis(600_000);
+    private static final long UNASSIGNED_GRACE_NANOS = Nanos.ofMillis(600_000);
     private static final long NEVER = Long.MAX_VALUE;
-    private static final long CONNECT_NANOS = Nanos.ofMillis(5_000);
-    private static final long HEARTBEAT_NANOS = Nanos.ofMillis(1_000);
+    private static final long CONNECT_TIMEOUT_NANOS = Nanos.ofMillis(5_000);
+    private static final long HEARTBEAT_INTERVAL_NANOS = Nanos.ofMillis(1_000);
     private static final long MIN_BACKOFF_NANOS = Nanos.ofMillis(100);
     private static final long MAX_BACKOFF_NANOS = Nanos.ofMillis(5_000);
 
     private final VmId mSelf;
     private final FailureDomain mDomain;
-    private final int mReplicas;
+    private final int mEntriesPerEndpoint;
     private final RandomGenerator mRandom;
     private final MembershipOutputs mOutputs;
-    private final Map<VmId, Tracked> mTracked = new HashMap<>();
-    private final Map<Peer, Boolean> mAssigned = new HashMap<>();
+    private final Map<VmId, TrackedPeer> mTracked = new HashMap<>();
+    private final Map<Peer, Boolean> mAssignments = new HashMap<>();
     private List<Peer> mLastList = List.of();
     private List<Peer> mEntries = List.of();
 
@@ -58,41 +65,41 @@
             MembershipOutputs outputs) {
         mSelf = self;
         mDomain = domain;
-        mReplicas = entriesPerEndpoint;
+        mEntriesPerEndpoint = entriesPerEndpoint;
         mRandom = random;
         mOutputs = outputs;
     }
 
-    /** Where the link to a peer stands. */
+    /** The state of the link to a peer. */
     private enum LinkState {
         CLOSED,
         CONNECTING,
         OPEN
     }
 
-    /** One peer that this process connects to. Confined to the membership duty. */
-    private static final class Tracked {
+    /** A peer to which this process connects. Confined to the membership event loop. */
+    private static final class TrackedPeer {
         private Peer mPeer;
-        private boolean mListed = true;
-        private long mRetiredAt = NEVER;
-        private boolean mLeavingSaid;
+        private boolean mWanted = true;
+        private long mUnassignedAt = NEVER;
+        private boolean mReportedLeaving;
         private LinkState mLink = LinkState.CLOSED;
-        private long mHeardAt;
-        private long mNextHeartbeat;
-        private long mNextConnect;
+        private long mLastReceivedAt;
+        private long mNextHeartbeatAt;
+        private long mNextConnectAt;
         private long mConnectingSince;
         private long mBackoff = MIN_BACKOFF_NANOS;
         private boolean mUsable;
 
-        Tracked(Peer peer, long now) {
+        TrackedPeer(Peer peer, long now) {
             mPeer = peer;
-            mNextConnect = now;
+            mNextConnectAt = now;
         }
     }
 
     /**
-     * Creates a machine that connects to the endpoints of which this entry is one of the {@code
-     * entriesPerEndpoint} chosen, and to as many other entries.
+     * Creates a machine that connects to the endpoints that have this entry among their {@code
+     * entriesPerEndpoint} entries, and to as many other entries.
      */
     public static MembershipMachine create(
             VmId self,
@@ -103,7 +110,7 @@
         return new MembershipMachine(self, domain, entriesPerEndpoint, random, outputs);
     }
 
-    /** Handles a fresh reading of the platform's list. */
+    /** Handles a new reading of the platform's list of VMs. */
     public void onVmList(List<Peer> peers, long now) {
         if (peers.equals(mLastList)) {
             onTick(now);
@@ -112,19 +119,19 @@
         mLastList = List.copyOf(peers);
         Map<VmId, Peer> wanted = wanted(peers);
         Set<VmId> listed = peers.stream().map(Peer::vm).collect(Collectors.toSet());
-        for (Tracked tracked : mTracked.values()) {
+        for (TrackedPeer tracked : mTracked.values()) {
             VmId vm = tracked.mPeer.vm();
-            tracked.mListed = wanted.containsKey(vm);
-            boolean retired = listed.contains(vm) && !tracked.mListed;
-            tracked.mRetiredAt = retired ? Math.min(tracked.mRetiredAt, now) : NEVER;
+            tracked.mWanted = wanted.containsKey(vm);
+            boolean unassigned = listed.contains(vm) && !tracked.mWanted;
+            tracked.mUnassignedAt = unassigned ? Math.min(tracked.mUnassignedAt, now) : NEVER;
         }
         wanted.values().forEach(peer -> track(peer, now));
         onTick(now);
     }
 
     /**
-     * Returns the peers to connect to. Each endpoint has its own few entries, chosen from its side,
-     * so that none is left without.
+     * Returns the peers to connect to. The entries of an endpoint are chosen from the endpoint's ID
+     * and failure domain, so that no endpoint is left without entries.
      */
     private Map<VmId, Peer> wanted(List<Peer> peers) {
         List<Peer> entries = new ArrayList<>();
@@ -134,75 +141,75 @@
                 .forEach(entries::add);
         if (!entries.equals(mEntries)) {
             mEntries = entries;
-            mAssigned.clear();
+            mAssignments.clear();
         }
         Map<VmId, Peer> wanted = new HashMap<>();
-        SubsetChooser.choose(mSelf, mDomain, entries.subList(1, entries.size()), mReplicas)
+        SubsetChooser.choose(
+                        mSelf, mDomain, entries.subList(1, entries.size()), mEntriesPerEndpoint)
                 .forEach(peer -> wanted.put(peer.vm(), peer));
         Map<String, List<Peer>> services =
                 peers.stream().filter(Peer::endpoint).collect(Collectors.groupingBy(Peer::service));
         for (List<Peer> endpoints : services.values()) {
             endpoints.stream()
-                    .filter(peer -> mAssigned.computeIfAbsent(peer, this::isAssigned))
+                    .filter(peer -> mAssignments.computeIfAbsent(peer, this::isAssigned))
                     .forEach(peer -> wanted.put(peer.vm(), peer));
-            SubsetChooser.choose(mSelf, mDomain, endpoints, mReplicas)
+            SubsetChooser.choose(mSelf, mDomain, endpoints, mEntriesPerEndpoint)
                     .forEach(peer -> wanted.put(peer.vm(), peer));
         }
-        mAssigned.keySet().retainAll(Set.copyOf(peers));
+        mAssignments.keySet().retainAll(Set.copyOf(peers));
         return wanted;
     }
 
     private boolean isAssigned(Peer endpoint) {
-        return SubsetChooser.choose(endpoint.vm(), endpoint.failureDomain(), mEntries, mReplicas)
+        return SubsetChooser.choose(
+                        endpoint.vm(), endpoint.failureDomain(), mEntries, mEntriesPerEndpoint)
                 .stream()
                 .anyMatch(entry -> entry.vm().equals(mSelf));
     }
 
-    /**
-     * Handles an opened link; one that a peer opened, and that is not wanted here, is left open.
-     */
+    /** Handles an opened link. A link from a peer that this process does not track stays open. */
     public void onConnected(VmId vm, long now) {
-        Tracked tracked = mTracked.get(vm);
+        TrackedPeer tracked = mTracked.get(vm);
         if (tracked == null) {
             return;
         }
         tracked.mLink = LinkState.OPEN;
-        tracked.mLeavingSaid = false;
-        tracked.mHeardAt = now;
-        tracked.mNextHeartbeat = now;
+        tracked.mReportedLeaving = false;
+        tracked.mLastReceivedAt = now;
+        tracked.mNextHeartbeatAt = now;
         tracked.mBackoff = MIN_BACKOFF_NANOS;
-        refresh(tracked, now);
+        updateUsable(tracked, now);
     }
 
     /** Handles a link that closed or could not be opened. */
     public void onDisconnected(VmId vm, long now) {
-        Tracked tracked = mTracked.get(vm);
+        TrackedPeer tracked = mTracked.get(vm);
         if (tracked == null) {
             return;
         }
         tracked.mLink = LinkState.CLOSED;
-        tracked.mNextConnect = now + jittered(tracked.mBackoff);
+        tracked.mNextConnectAt = now + jittered(tracked.mBackoff);
         tracked.mBackoff = Math.min(MAX_BACKOFF_NANOS, tracked.mBackoff * 2);
-        refresh(tracked, now);
+        updateUsable(tracked, now);
     }
 
     /**
-     * Handles any message of a peer.
+     * Handles any message from a peer.
      *
-     * @param leaving whether the peer says that it is leaving
+     * @param leaving whether the peer reports that it is leaving
      */
     public void onMessageReceived(VmId vm, boolean leaving, long now) {
-        Tracked tracked = mTracked.get(vm);
+        TrackedPeer tracked = mTracked.get(vm);
         if (tracked != null) {
-            tracked.mHeardAt = now;
-            tracked.mLeavingSaid |= leaving;
-            refresh(tracked, now);
+            tracked.mLastReceivedAt = now;
+            tracked.mReportedLeaving |= leaving;
+            updateUsable(tracked, now);
         }
     }
 
     @Override
     public void onTick(long now) {
-        for (Tracked tracked : List.copyOf(mTracked.values())) {
+        for (TrackedPeer tracked : List.copyOf(mTracked.values())) {
             tick(tracked, now);
         }
     }
@@ -210,35 +217,35 @@
     /** Returns the peers and their state for a dump. */
     public List<PeerDump> dump(long now) {
         List<PeerDump> peers = new ArrayList<>();
-        for (Tracked tracked : mTracked.values()) {
+        for (TrackedPeer tracked : mTracked.values()) {
             peers.add(
                     new PeerDump(
                             tracked.mPeer.vm(),
                             tracked.mPeer.service(),
                             tracked.mPeer.failureDomain(),
                             tracked.mLink.name(),
-                            tracked.mListed,
+                            tracked.mWanted,
                             tracked.mUsable,
-                            Nanos.toMillis(now - tracked.mHeardAt)));
+                            Nanos.toMillis(now - tracked.mLastReceivedAt)));
         }
         return peers;
     }
 
-    /** Returns the number of VMs in the newest list. */
+    /** Returns the number of VMs in the latest list. */
     public int listedCount() {
         return mLastList.size();
     }
 
     /**
-     * The state of one peer for people.
+     * The state of one peer, for operators.
      *
      * @param vm the peer
      * @param service its service; empty for an entry
-     * @param failureDomain where it runs
+     * @param failureDomain the failure domain in which it runs
      * @param link the state of the link
-     * @param listed whether the newest list has it
+     * @param listed whether the latest list assigns it to this process
      * @param usable whether it may get new work
-     * @param silentMillis time since it was heard, in milliseconds
+     * @param silentMillis time since its last message, in milliseconds
      */
     public record PeerDump(
             VmId vm,
@@ -250,54 +257,58 @@
             long silentMillis) {}
 
     private void track(Peer peer, long now) {
-        Tracked tracked = mTracked.computeIfAbsent(peer.vm(), vm -> new Tracked(peer, now));
+        TrackedPeer tracked = mTracked.computeIfAbsent(peer.vm(), vm -> new TrackedPeer(peer, now));
         if (!tracked.mPeer.host().equals(peer.host()) || tracked.mPeer.port() != peer.port()) {
             mOutputs.disconnect(peer.vm());
-            tracked.mNextConnect = now;
+            tracked.mNextConnectAt = now;
         }
         tracked.mPeer = peer;
     }
 
-    private void tick(Tracked tracked, long now) {
+    private void tick(TrackedPeer tracked, long now) {
         VmId vm = tracked.mPeer.vm();
-        boolean silent = now - tracked.mHeardAt >= LOST_TIMEOUT_NANOS;
-        boolean retired = tracked.mRetiredAt != NEVER && now - tracked.mRetiredAt >= RETIRE_NANOS;
-        if (tracked.mLink == LinkState.OPEN && (silent || retired)) {
+        boolean silent = now - tracked.mLastReceivedAt >= LOST_TIMEOUT_NANOS;
+        boolean expired =
+                tracked.mUnassignedAt != NEVER
+                        && now - tracked.mUnassignedAt >= UNASSIGNED_GRACE_NANOS;
+        if (tracked.mLink == LinkState.OPEN && (silent || expired)) {
             mOutputs.disconnect(vm);
         }
-        boolean stuck = now - tracked.mConnectingSince >= CONNECT_NANOS;
-        if (tracked.mLink == LinkState.CONNECTING && stuck) {
+        boolean timedOut = now - tracked.mConnectingSince >= CONNECT_TIMEOUT_NANOS;
+        if (tracked.mLink == LinkState.CONNECTING && timedOut) {
             onDisconnected(vm, now);
         }
-        if (!tracked.mListed && tracked.mLink == LinkState.CLOSED) {
-            forget(tracked);
+        if (!tracked.mWanted && tracked.mLink == LinkState.CLOSED) {
+            remove(tracked);
             return;
         }
-        if (tracked.mLink == LinkState.CLOSED && now - tracked.mNextConnect >= 0) {
+        if (tracked.mLink == LinkState.CLOSED && now - tracked.mNextConnectAt >= 0) {
             tracked.mLink = LinkState.CONNECTING;
             tracked.mConnectingSince = now;
             mOutputs.connect(tracked.mPeer);
         }
-        if (tracked.mLink == LinkState.OPEN && now - tracked.mNextHeartbeat >= 0) {
-            tracked.mNextHeartbeat = now + HEARTBEAT_NANOS;
+        if (tracked.mLink == LinkState.OPEN && now - tracked.mNextHeartbeatAt >= 0) {
+            tracked.mNextHeartbeatAt = now + HEARTBEAT_INTERVAL_NANOS;
             mOutputs.sendHeartbeat(vm);
         }
-        refresh(tracked, now);
+        updateUsable(tracked, now);
     }
 
-    private void forget(Tracked tracked) {
+    private void remove(TrackedPeer tracked) {
         mTracked.remove(tracked.mPeer.vm());
         setUsable(tracked, false);
     }
 
-    private void refresh(Tracked tracked, long now) {
-        boolean heard = now - tracked.mHeardAt < SUSPECT_TIMEOUT_NANOS;
+    private void updateUsable(TrackedPeer tracked, long now) {
+        boolean alive = now - tracked.mLastReceivedAt < SUSPECT_TIMEOUT_NANOS;
         boolean leaving =
-                tracked.mLeavingSaid || tracked.mPeer.leaving() || tracked.mRetiredAt != NEVER;
-        setUsable(tracked, tracked.mLink == LinkState.OPEN && heard && !leaving);
+                tracked.mReportedLeaving
+                        || tracked.mPeer.leaving()
+                        || tracked.mUnassignedAt != NEVER;
+        setUsable(tracked, tracked.mLink == LinkState.OPEN && alive && !leaving);
     }
 
-    private void setUsable(Tracked tracked, boolean usable) {
+    private void setUsable(TrackedPeer tracked, boolean usable) {
         if (tracked.mUsable != usable) {
             tracked.mUsable = usable;
             mOutputs.setUsable(tracked.mPeer, usable);
@@ -308,9 +319,9 @@
         return nanos / 2 + (long) (mRandom.nextDouble() * nanos);
     }
 
-    /** Returns the record of a peer, or null if it is not connected to. */
+    /** Returns a peer, or null if this process does not track it. */
     public @Nullable Peer findPeer(VmId vm) {
-        Tracked tracked = mTracked.get(vm);
+        TrackedPeer tracked = mTracked.get(vm);
         return tracked == null ? null : tracked.mPeer;
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMessage.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMessage.java
@@ -6,7 +6,7 @@
 import org.ebonyrun.core.attempt.EndpointLoad;
 import org.jspecify.annotations.Nullable;
 
-/** Messages that introduce processes to each other and keep links alive. Immutable. */
+/** Messages by which processes introduce themselves and show that they are alive. Immutable. */
 public sealed interface MembershipMessage extends Message {
     /**
      * The first message on a link, from both sides.
@@ -14,9 +14,9 @@
      * @param vm the sender
      * @param role the sender's role, {@code entry} or {@code endpoint}
      * @param service the service of an endpoint; empty for an entry
-     * @param failureDomain where the sender runs
-     * @param incarnation the random number that the sender drew at its start
-     * @param weightSource the address from which an engine's weights can be copied; else empty
+     * @param failureDomain the failure domain in which the sender runs
+     * @param incarnation a random number that the sender chose when it started
+     * @param weightSource the address from which an engine's weights can be copied; empty otherwise
      */
     record Hello(
             VmId vm,
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipOutputs.java
@@ -2,17 +2,17 @@
 
 import org.ebonyrun.base.id.VmId;
 
-/** What the membership duty does to the world. Called on the duty's thread; must not block. */
+/** The outputs of the membership machine. Called on its event loop; must not block. */
 public interface MembershipOutputs {
-    /** Opens a link; the outcome comes back as an event. */
+    /** Opens a link; the result comes back as an event. */
     void connect(Peer peer);
 
-    /** Closes a link that is wanted no more, or whose peer is gone. */
+    /** Closes a link that is no longer needed, or whose peer has stopped sending messages. */
     void disconnect(VmId vm);
 
     /** Sends a heartbeat to a connected peer. */
     void sendHeartbeat(VmId vm);
 
-    /** Tells whether the peer may get new work. */
+    /** Sets whether a peer may get new work. */
     void setUsable(Peer peer, boolean usable);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/Peer.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/Peer.java
@@ -4,15 +4,15 @@
 import org.ebonyrun.base.id.VmId;
 
 /**
- * A process that the platform's list names.
+ * A process on the platform's list of VMs.
  *
  * @param vm the VM
- * @param endpoint whether it is an endpoint's agent; else it is an entry
+ * @param endpoint whether it is an endpoint's agent rather than an entry
  * @param service the service of an endpoint; empty for an entry
- * @param failureDomain where it runs
- * @param host the IP number for links
- * @param port the port for links
- * @param leaving whether the list says that it is leaving
+ * @param failureDomain the failure domain in which it runs
+ * @param host the IP address on which it accepts links
+ * @param port the port on which it accepts links
+ * @param leaving whether the list reports it as leaving
  */
 public record Peer(
         VmId vm,
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/SubsetChooser.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/SubsetChooser.java
@@ -12,8 +12,8 @@
 import org.ebonyrun.base.id.VmId;
 
 /**
- * Chooses by rendezvous hashing a few peers for one VM, so that its number of links does not grow
- * with the fleet and few links change when a peer comes or goes.
+ * Chooses a few peers for a VM by rendezvous hashing. The number of links of a VM then does not
+ * grow with the fleet, and few links change when a peer is added or removed.
  *
  * <p>Stateless and thread safe.
  */
@@ -22,29 +22,29 @@
 
     /**
      * Chooses at most {@code size} peers for a VM: half of them in its own failure domain, the rest
-     * spread evenly over the others, so that the loss of any one domain leaves a working part.
+     * spread evenly over the other domains, so that the loss of any one domain leaves usable peers.
      */
     public static List<Peer> choose(
             VmId self, FailureDomain domain, Collection<Peer> peers, int size) {
         if (peers.size() <= size) {
             return List.copyOf(peers);
         }
-        Map<FailureDomain, List<Peer>> byDomain = ranked(self, peers);
-        List<Peer> own = byDomain.remove(domain);
+        Map<FailureDomain, List<Peer>> byDomain = rankByDomain(self, peers);
+        List<Peer> local = byDomain.remove(domain);
         List<Peer> chosen = new ArrayList<>();
-        if (own != null) {
-            chosen.addAll(own.subList(0, Math.min(own.size(), (size + 1) / 2)));
+        if (local != null) {
+            chosen.addAll(local.subList(0, Math.min(local.size(), (size + 1) / 2)));
         }
-        takeRoundRobin(byDomain, chosen, size);
-        if (own != null && chosen.size() < size) {
-            int taken = Math.min(own.size(), (size + 1) / 2);
-            int more = Math.min(own.size(), taken + size - chosen.size());
-            chosen.addAll(own.subList(taken, more));
+        addRoundRobin(byDomain, chosen, size);
+        if (local != null && chosen.size() < size) {
+            int localCount = Math.min(local.size(), (size + 1) / 2);
+            int localEnd = Math.min(local.size(), localCount + size - chosen.size());
+            chosen.addAll(local.subList(localCount, localEnd));
         }
         return List.copyOf(chosen);
     }
 
-    private static Map<FailureDomain, List<Peer>> ranked(VmId self, Collection<Peer> peers) {
+    private static Map<FailureDomain, List<Peer>> rankByDomain(VmId self, Collection<Peer> peers) {
         Map<FailureDomain, List<Peer>> byDomain = new TreeMap<>();
         for (Peer peer : peers) {
             byDomain.computeIfAbsent(peer.failureDomain(), key -> new ArrayList<>()).add(peer);
@@ -55,15 +55,15 @@
         return byDomain;
     }
 
-    private static void takeRoundRobin(
+    private static void addRoundRobin(
             Map<FailureDomain, List<Peer>> byDomain, List<Peer> chosen, int size) {
-        boolean took = true;
-        for (int rank = 0; took && chosen.size() < size; rank++) {
-            took = false;
+        boolean added = true;
+        for (int rank = 0; added && chosen.size() < size; rank++) {
+            added = false;
             for (List<Peer> list : byDomain.values()) {
                 if (rank < list.size() && chosen.size() < size) {
                     chosen.add(list.get(rank));
-                    took = true;
+                    added = true;
                 }
             }
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/package-info.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Which peers exist and are alive, and which of them a process connects to. */
+/** Membership: which peers exist and are alive, and to which of them a process connects. */
 @NullMarked
 package org.ebonyrun.core.membership;
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/Problem.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/Problem.java
@@ -1,12 +1,12 @@
 package org.ebonyrun.core.settings;
 
 /**
- * One fault in a settings file.
+ * One problem in a settings file.
  *
  * @param file the name of the file
- * @param line the line, from one; zero when the fault is of the whole file
+ * @param line the line, counted from one; zero if the problem concerns the whole file
  * @param path the path of the value, for example {@code classes.lookup.lateness}
- * @param message what is wrong and what would be right
+ * @param message what is wrong and what is expected
  */
 public record Problem(String file, int line, String path, String message) {
     @Override
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/SettingsNode.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/SettingsNode.java
@@ -20,8 +20,8 @@
 
 /**
  * A value in a YAML file, with its line and path. Reading a value of the wrong kind adds a {@link
- * Problem} to the list that all nodes of a file share and gives the fallback, so that one pass
- * finds every fault.
+ * Problem} to the list that all nodes of a file share and returns the fallback, so that one pass
+ * finds all problems.
  *
  * <p>Not thread safe; used by the thread that reads the file.
  */
@@ -65,12 +65,12 @@
         return mNode != null;
     }
 
-    /** Returns the path from the root, with dots. */
+    /** Returns the path from the root, separated by dots. */
     public String path() {
         return mPath;
     }
 
-    /** Adds a problem at this value; the same problem is added once. */
+    /** Adds a problem with this value, unless the same problem has been added already. */
     public void addProblem(String message) {
         Problem problem = new Problem(mFile, mLine, mPath, message);
         if (!mProblems.contains(problem)) {
@@ -78,13 +78,16 @@
         }
     }
 
-    /** Returns the child with the given key; absent if there is none. */
+    /** Returns the child with the given key, or a node that is not present. */
     public SettingsNode get(String key) {
         SettingsNode child = children().get(key);
         return child != null ? child : new SettingsNode(mFile, join(key), null, mLine, mProblems);
     }
 
-    /** Returns the children in the order of the file; empty, with a problem, if not a mapping. */
+    /**
+     * Returns the children in file order. If the value is not a mapping, adds a problem and returns
+     * an empty map.
+     */
     public Map<String, SettingsNode> children() {
         Map<String, SettingsNode> children = new LinkedHashMap<>();
         if (mNode == null) {
@@ -106,7 +109,10 @@
         return children;
     }
 
-    /** Returns the items of a list; empty, with a problem, if it is not a list. */
+    /**
+     * Returns the items of a list. If the value is not a list, adds a problem and returns an empty
+     * list.
+     */
     public List<SettingsNode> items() {
         List<SettingsNode> items = new ArrayList<>();
         if (mNode instanceof SequenceNode sequence) {
@@ -121,7 +127,7 @@
         return items;
     }
 
-    /** Adds a problem for every key that is not allowed. */
+    /** Adds a problem for every key that is not among {@code keys}. */
     public void checkKeys(Set<String> keys) {
         children()
                 .forEach(
@@ -132,7 +138,10 @@
                         });
     }
 
-    /** Returns the text of a scalar; a problem, and the fallback, if it is absent. */
+    /**
+     * Returns the text of a scalar that must be present. If it is absent, adds a problem and
+     * returns the fallback.
+     */
     public String requireText(String fallback) {
         if (mNode == null) {
             addProblem("is missing");
@@ -141,7 +150,10 @@
         return text(fallback);
     }
 
-    /** Returns the text of a scalar, or the fallback if it is absent. */
+    /**
+     * Returns the text of a scalar, or the fallback if it is absent. If the value is not a scalar,
+     * adds a problem and returns the fallback.
+     */
     public String text(String fallback) {
         if (mNode instanceof ScalarNode scalar) {
             return scalar.getValue();
@@ -153,16 +165,16 @@
     }
 
     /**
-     * Returns a scalar read by {@code read}, or the fallback if it is absent. An {@link
-     * IllegalArgumentException} of {@code read} becomes a problem.
+     * Returns a scalar as parsed by {@code parser}, or the fallback if it is absent. If the parser
+     * throws an {@link IllegalArgumentException}, adds a problem and returns the fallback.
      */
-    public <T> T read(Function<String, T> read, T fallback) {
+    public <T> T read(Function<String, T> parser, T fallback) {
         if (mNode == null) {
             return fallback;
         }
         String text = text("");
         try {
-            return read.apply(text);
+            return parser.apply(text);
         } catch (IllegalArgumentException e) {
             addProblem(String.valueOf(e.getMessage()));
             return fallback;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/ValueParser.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/ValueParser.java
@@ -5,7 +5,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads values that carry their unit. Stateless and thread safe. */
+/** Parses the values of settings, with their units. Stateless and thread safe. */
 public final class ValueParser {
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9})\\s*(ms|s|min|h)");
     private static final Pattern VERSIONS = Pattern.compile("(\\d{1,6})\\s*versions?");
@@ -15,9 +15,9 @@
     private ValueParser() {}
 
     /**
-     * Reads a duration such as {@code 200ms} and returns milliseconds.
+     * Parses a duration such as {@code 200ms} and returns milliseconds.
      *
-     * @throws IllegalArgumentException if the text is not a number and a unit
+     * @throws IllegalArgumentException if the text is not a number with a unit
      */
     public static long parseMillis(String text) {
         Matcher m = DURATION.matcher(text.strip());
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Reads a staleness bound such as {@code 4 versions}.
+     * Parses a staleness bound such as {@code 4 versions}.
      *
-     * @throws IllegalArgumentException if the text is not a number and the unit
+     * @throws IllegalArgumentException if the text is not a number with the unit {@code versions}
      */
     public static long parseVersions(String text) {
         Matcher m = VERSIONS.matcher(text.strip());
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Reads a size such as {@code 64MB} and returns bytes.
+     * Parses a size such as {@code 64MB} and returns bytes.
      *
-     * @throws IllegalArgumentException if the text is not a number and a unit
+     * @throws IllegalArgumentException if the text is not a number with a unit
      */
     public static long parseBytes(String text) {
         Matcher m = SIZE.matcher(text.strip());
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Reads a whole number without a unit.
+     * Parses a whole number without a unit.
      *
      * @throws IllegalArgumentException if the text is not a whole number
      */
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Reads a quantile between zero and one, both excluded.
+     * Parses a quantile between zero and one, both exclusive.
      *
-     * @throws IllegalArgumentException if the text is no such number
+     * @throws IllegalArgumentException if the text is not such a number
      */
     public static double parseQuantile(String text) {
         double q = parseDouble(text);
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Reads {@code true} or {@code false}.
+     * Parses {@code true} or {@code false}.
      *
      * @throws IllegalArgumentException for any other text
      */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/package-info.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/settings/package-info.java
@@ -1,4 +1,4 @@
-/** YAML settings read as a tree that knows the line and path of every value. */
+/** YAML settings as a tree with the line and path of every value. */
 @NullMarked
 package org.ebonyrun.core.settings;
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/config/ConfigMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/config/ConfigMachineTest.java
@@ -30,7 +30,7 @@
                     });
 
     @Test
-    void neverStepsBack() {
+    void neverAdoptsAnOlderVersion() {
         mMachine.onConfig(5, TEXT);
         mMachine.onConfig(4, TEXT);
         mMachine.onMessage(1, new ConfigMessage.ConfigUpdate(3, TEXT));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void asksAPeerThatIsAheadAndLeavesOneThatIsBehindToAsk() {
+    void requestsTextFromNewerPeersAndSendsItToOlderPeersOnRequest() {
         mMachine.onConfig(5, TEXT);
         mMachine.onPeerVersion(1, 6);
         mMachine.onPeerVersion(2, 4);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void adoptsNoTextWithFaults() {
+    void rejectsInvalidText() {
         mMachine.onConfig(1, "services: 3");
         assertThat(mMachine.config().version(), is(0L));
         assertThat(mMachine.rejectedCount(), is(1L));
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/config/ConfigParserTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/config/ConfigParserTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void readsAValidFile() {
+    void parsesValidFile() {
         ConfigParser.Parsed parsed = ConfigParser.parse("file", VALID, 7);
         assertThat(parsed.problems(), empty());
         assertThat(parsed.config().version(), is(7L));
@@ -55,13 +55,13 @@
 
     @ParameterizedTest
     @MethodSource("faults")
-    void namesEachFault(String text, String message) {
+    void reportsEachProblem(String text, String message) {
         assertThat(
                 ConfigParser.parse("file", text, 1).problems().toString(), containsString(message));
     }
 
     @Test
-    void findsEveryFaultAtItsLine() {
+    void reportsEveryProblemWithItsLine() {
         String text = VALID.replace("0.99", "2").replace("5s", "5");
         ConfigParser.Parsed parsed = ConfigParser.parse("file", text, 1);
         assertThat(parsed.problems(), hasSize(2));
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/HeartbeatPolicyTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/HeartbeatPolicyTest.java
@@ -13,7 +13,7 @@
     private final HeartbeatPolicy mPolicy = new HeartbeatPolicy();
 
     @BeforeEach
-    void sendOne() {
+    void sendFirstHeartbeat() {
         assertThat(mPolicy.markSentIfDue(load(2, 1, false), 0), is(true));
     }
 
@@ -26,11 +26,11 @@
         "2, 2, false, 1, true",
         "2, 1, true, 1, true"
     })
-    void sendsChangesSoonAndTheRestSeldom(
+    void sendsChangedLoadSoonerThanUnchangedLoad(
             int running, long version, boolean leaving, long millis, boolean due) {
-        boolean sent =
+        boolean isDue =
                 mPolicy.markSentIfDue(load(running, version, leaving), Nanos.ofMillis(millis));
-        assertThat(sent, is(due));
+        assertThat(isDue, is(due));
     }
 
     private static EndpointLoad load(int running, long version, boolean leaving) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/MembershipMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/MembershipMachineTest.java
@@ -47,7 +47,7 @@
                     });
 
     @BeforeEach
-    void connectOne() {
+    void connectPeer() {
         mMachine.onVmList(List.of(peer(false)), 0);
         mMachine.onConnected(VM, 0);
         assertThat(mActions, contains("connect", "usable"));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aSilentPeerGetsNoNewWorkAndLosesItsLinkLater() {
+    void silentPeerIsUnusableAndIsDisconnectedLater() {
         mMachine.onTick(3 * SECOND);
         assertThat(mActions, contains("unusable"));
         mMachine.onMessageReceived(VM, false, 3 * SECOND);
@@ -66,20 +66,20 @@
     }
 
     @Test
-    void aPeerThatSaysItLeavesGetsNoNewWork() {
+    void peerThatReportsLeavingIsUnusable() {
         mMachine.onMessageReceived(VM, true, SECOND);
         mMachine.onMessageReceived(VM, false, SECOND);
         assertThat(mActions, contains("unusable"));
     }
 
     @Test
-    void aPeerThatTheListCallsLeavingGetsNoNewWork() {
+    void peerListedAsLeavingIsUnusable() {
         mMachine.onVmList(List.of(peer(true)), SECOND);
         assertThat(mActions, contains("unusable"));
     }
 
     @Test
-    void aPeerThatTheListDropsStaysWhileItIsHeard() {
+    void unlistedPeerStaysConnectedWhileItSendsMessages() {
         mMachine.onVmList(List.of(), SECOND);
         mMachine.onMessageReceived(VM, false, SECOND);
         assertThat(mActions, empty());
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void reconnectsWithGrowingPauses() {
+    void reconnectsAfterBackoff() {
         mMachine.onDisconnected(VM, SECOND);
         mMachine.onTick(SECOND);
         assertThat(mActions, contains("unusable"));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void triesAgainWhenAnotherVmAnswersAtTheAddress() {
+    void reconnectsWhenAnotherVmRespondsAtTheAddress() {
         mMachine.onDisconnected(VM, SECOND);
         mMachine.onTick(2 * SECOND);
         mMachine.onConnected(VmId.of("stranger"), 2 * SECOND);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void anEndpointAssignedToOtherEntriesGetsNoNewWorkAndItsLinkEnds() {
+    void endpointReassignedToOtherEntriesIsUnusableAndIsDisconnectedLater() {
         List<Peer> list = fleet(200, 400);
         list.add(peer(false));
         mMachine.onVmList(list, SECOND);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void everyEntryReachesASmallServiceOfALargeFleet() {
+    void everyEntryConnectsToASmallServiceOfALargeFleet() {
         mMachine.onVmList(fleet(400, 3), SECOND);
         long endpoints =
                 mMachine.dump(SECOND).stream().filter(p -> p.service().equals("models")).count();
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/SubsetChooserTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/membership/SubsetChooserTest.java
@@ -25,7 +25,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {5, 16, 100, 6_600})
-    void takesAtMostItsSizeAndEveryDomain(int peers) {
+    void choosesAtMostSizePeersFromAllDomains(int peers) {
         List<Peer> chosen = SubsetChooser.choose(SELF, OWN, peers(peers), SIZE);
         assertThat(chosen.size(), is(Math.min(peers, SIZE)));
         Set<FailureDomain> domains =
@@ -34,14 +34,14 @@
     }
 
     @Test
-    void takesHalfInItsOwnDomain() {
+    void choosesHalfOfThePeersInOwnDomain() {
         List<Peer> chosen = SubsetChooser.choose(SELF, OWN, peers(400), SIZE);
         long own = chosen.stream().filter(p -> p.failureDomain().equals(OWN)).count();
         assertThat(own, is(8L));
     }
 
     @Test
-    void changesFewLinksWhenAPeerLeaves() {
+    void addsAtMostOnePeerWhenAPeerIsRemoved() {
         List<Peer> all = peers(400);
         Set<Peer> before = new HashSet<>(SubsetChooser.choose(SELF, OWN, all, SIZE));
         List<Peer> fewer = new ArrayList<>(all);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void spreadsTheEntriesOfEveryEndpointOverDomainsAndItsLoadOverEntries() {
+    void spreadsEntriesOfEndpointsOverDomainsAndLinksOverEntries() {
         List<Peer> entries = peers(40);
         Map<VmId, Integer> links = new HashMap<>();
         for (Peer endpoint : peers(660)) {
@@ -68,9 +68,9 @@
             assertThat(domains.size(), greaterThanOrEqualTo(3));
             chosen.forEach(entry -> links.merge(entry.vm(), 1, Integer::sum));
         }
-        int most = links.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+        int maxLinks = links.values().stream().mapToInt(Integer::intValue).max().orElse(0);
         assertThat(links.size(), is(40));
-        assertThat(most, lessThanOrEqualTo(2 * 660 * 4 / 40));
+        assertThat(maxLinks, lessThanOrEqualTo(2 * 660 * 4 / 40));
     }
 
     private static List<Peer> peers(int count) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
@@ -22,19 +22,19 @@
 import org.glassfish.grizzly.http.server.Request;
 import org.jspecify.annotations.Nullable;
 
-/** Callers' HTTP interface: {@code POST /v1/calls/{class}}. Thread safe. */
+/** HTTP interface for calls: {@code POST /v1/calls/{class}}. Thread safe. */
 final class CallApi {
     static final String PREFIX = "/v1/calls/";
 
-    private static final String STEP = "http.call";
+    private static final String FAULT_STEP = "http.call";
     private static final String IDEMPOTENT_HEADER = "Ebonyrun-Idempotent";
-    private static final String KEY_HEADER = "Idempotency-Key";
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
     private static final String PATH_HEADER = "Ebonyrun-Path";
     private static final int MAX_KEY_CHARS = 256;
     private static final long MIN_TIMEOUT_MILLIS = 5_000;
     private static final long TIMEOUT_PER_TARGET = 4;
-    private static final long RETRY_MILLIS = 200;
-    private static final String COMPLETIONS = "/v1/completions";
+    private static final long RETRY_AFTER_MILLIS = 200;
+    private static final String COMPLETIONS_PATH = "/v1/completions";
 
     private final EntryContext mContext;
 
@@ -56,7 +56,7 @@
                 });
     }
 
-    /** What a call's request line and headers say. */
+    /** The validated request line and headers of a call. */
     private record CallHead(
             ClassSpec spec,
             boolean engine,
@@ -89,9 +89,11 @@
         if (idempotent != null && !idempotent.equals("true") && !idempotent.equals("false")) {
             return refuse(FaultCode.BAD_REQUEST, IDEMPOTENT_HEADER + " must be true or false");
         }
-        String key = request.getHeader(KEY_HEADER);
+        String key = request.getHeader(IDEMPOTENCY_KEY_HEADER);
         if (key != null && (key.isEmpty() || key.length() > MAX_KEY_CHARS)) {
-            return refuse(FaultCode.BAD_REQUEST, KEY_HEADER + " must have 1 to 256 characters");
+            return refuse(
+                    FaultCode.BAD_REQUEST,
+                    IDEMPOTENCY_KEY_HEADER + " must have 1 to 256 characters");
         }
         boolean engine =
                 config.service(spec.service())
@@ -107,7 +109,7 @@
                         engine,
                         idempotent == null ? spec.idempotent() : idempotent.equals("true"),
                         Optional.ofNullable(key),
-                        engine ? COMPLETIONS : path == null ? "/" : path,
+                        engine ? COMPLETIONS_PATH : path == null ? "/" : path,
                         FaultResponses.JSON_CONTENT_TYPE));
     }
 
@@ -127,7 +129,7 @@
                 result ->
                         result.fold(
                                 body -> {
-                                    prepare(head, body, arrival, out);
+                                    handleBody(head, body, arrival, out);
                                     return true;
                                 },
                                 fault -> {
@@ -136,27 +138,31 @@
                                 }));
     }
 
-    private void prepare(CallHead head, byte[] body, long arrival, Responder out) {
+    private void handleBody(CallHead head, byte[] body, long arrival, Responder out) {
         CompletionsCodec.EngineRequest call;
         try {
             call =
                     head.engine()
                             ? CompletionsCodec.toEngineRequest(body)
-                            : new CompletionsCodec.EngineRequest(checkedJson(body), false);
+                            : new CompletionsCodec.EngineRequest(requireJson(body), false);
         } catch (IllegalArgumentException e) {
-            FaultResponses.send(out, notRun(FaultCode.BAD_REQUEST, String.valueOf(e.getMessage())));
+            FaultResponses.send(
+                    out, notRunFault(FaultCode.BAD_REQUEST, String.valueOf(e.getMessage())));
             return;
         }
-        Work work = work(head, call.body(), call.streaming(), arrival);
+        Work work = newWork(head, call.body(), call.streaming(), arrival);
         if (head.idempotent() || head.key().isEmpty()) {
-            submit(new HttpCallSink(head.spec(), head.engine(), arrival, null, out), work);
+            submit(new HttpCallListener(head.spec(), head.engine(), arrival, null, out), work);
             return;
         }
-        claim(head, work, arrival, out);
+        claimAndSubmit(head, work, arrival, out);
     }
 
-    /** Claims the key of a non-idempotent call before anything of it is sent. */
-    private void claim(CallHead head, Work work, long arrival, Responder out) {
+    /**
+     * Claims the key of a non-idempotent call before any attempt is sent, so that the call runs at
+     * most once even if another entry receives it as well.
+     */
+    private void claimAndSubmit(CallHead head, Work work, long arrival, Responder out) {
         String nonce = HexFormat.of().toHexDigits(ThreadLocalRandom.current().nextLong());
         mContext.mClaimStore
                 .claim(head.spec().name(), head.key().orElseThrow(), nonce)
@@ -165,7 +171,7 @@
                                 result.fold(
                                         claim -> {
                                             submit(
-                                                    new HttpCallSink(
+                                                    new HttpCallListener(
                                                             head.spec(),
                                                             head.engine(),
                                                             arrival,
@@ -180,15 +186,15 @@
                                         }));
     }
 
-    private void submit(HttpCallSink sink, Work work) {
-        mContext.mCallListeners.put(work.id(), sink);
+    private void submit(HttpCallListener listener, Work work) {
+        mContext.mCallListeners.put(work.id(), listener);
         if (!mContext.mDispatchLoop.offer((machine, now) -> machine.submit(work, now))) {
             mContext.mCallListeners.remove(work.id());
-            sink.onFault(notRun(FaultCode.OVERLOADED, "the entry is overloaded"));
+            listener.onFault(notRunFault(FaultCode.OVERLOADED, "the entry is overloaded"));
         }
     }
 
-    private Work work(CallHead head, byte[] body, boolean streaming, long arrival) {
+    private Work newWork(CallHead head, byte[] body, boolean streaming, long arrival) {
         ClassSpec spec = head.spec();
         long timeout =
                 Math.max(MIN_TIMEOUT_MILLIS, spec.targetLatencyMillis() * TIMEOUT_PER_TARGET);
@@ -211,22 +217,25 @@
                 0);
     }
 
-    private static byte[] checkedJson(byte[] body) {
+    private static byte[] requireJson(byte[] body) {
         Json.tree(body);
         return body;
     }
 
     private static Result<CallHead> refuse(FaultCode code, String detail) {
-        return Result.err(notRun(code, detail));
+        return Result.err(notRunFault(code, detail));
     }
 
-    private static Fault notRun(FaultCode code, String detail) {
-        Fault fault = Fault.notRun(code, STEP, "", detail);
-        return code.httpStatus() == 503 ? fault.withRetryAfterMillis(RETRY_MILLIS) : fault;
+    private static Fault notRunFault(FaultCode code, String detail) {
+        Fault fault = Fault.notRun(code, FAULT_STEP, "", detail);
+        return code.httpStatus() == 503 ? fault.withRetryAfterMillis(RETRY_AFTER_MILLIS) : fault;
     }
 
-    /** Writes the answer of one call. Used on the dispatch duty. */
-    private final class HttpCallSink implements CallListener {
+    /**
+     * Writes the response to one call. Called on the dispatch event loop; if the loop takes no
+     * events, {@link #onFault} is called on the submitting thread instead.
+     */
+    private final class HttpCallListener implements CallListener {
         private static final String EVENT_STREAM = "text/event-stream";
 
         private final ClassSpec mSpec;
@@ -235,7 +244,7 @@
         private final ClaimStore.@Nullable Claim mClaim;
         private final Responder mOut;
 
-        HttpCallSink(
+        HttpCallListener(
                 ClassSpec spec,
                 boolean engine,
                 long arrival,
@@ -280,6 +289,7 @@
         public void onFault(Fault fault) {
             mContext.mMetrics.recordFailedCall(mSpec.name().value(), fault.code().wireName());
             if (mClaim != null && fault.isNotRun()) {
+                // The caller may repeat a call that did not run with the same key.
                 mContext.mClaimStore.release(mClaim);
             }
             if (mOut.isStarted()) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallListener.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallListener.java
@@ -4,14 +4,17 @@
 import org.ebonyrun.core.routing.Answer;
 import org.ebonyrun.core.routing.Work;
 
-/** Receives what becomes of one call. Called on the dispatch duty; must not block. */
+/**
+ * Receives the response or the fault of one call. Called on the dispatch event loop; must not
+ * block.
+ */
 interface CallListener {
-    /** Called for each piece of a streaming answer. */
+    /** Called for each piece of a streaming response. */
     void onPiece(byte[] data);
 
-    /** Called once when the answer is whole. */
+    /** Called once with the complete response. */
     void onAnswer(Work work, Answer answer);
 
-    /** Called once instead of {@link #onAnswer}. */
+    /** Called once instead of {@link #onAnswer} if the call fails. */
     void onFault(Fault fault);
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CompletionsCodec.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CompletionsCodec.java
@@ -8,7 +8,7 @@
 import org.ebonyrun.core.routing.Answer;
 import org.ebonyrun.daemon.store.Json;
 
-/** Reads and writes the JSON of the completions interface. Stateless and thread safe. */
+/** Reads and writes the JSON of the completions API. Stateless and thread safe. */
 final class CompletionsCodec {
     private CompletionsCodec() {}
 
@@ -23,15 +23,15 @@
     }
 
     /**
-     * A caller's request as the engine needs it, which is always streaming.
+     * A caller's request in the form that the engine receives, which is always streaming.
      *
-     * @param body the body to send
-     * @param streaming whether the caller asked for a streaming answer
+     * @param body the body to send to the engine
+     * @param streaming whether the caller requested a streaming response
      */
     record EngineRequest(byte[] body, boolean streaming) {}
 
     /**
-     * Reads a caller's request.
+     * Converts a caller's request for the engine.
      *
      * @throws IllegalArgumentException if it is not a JSON object with a prompt
      */
@@ -53,7 +53,7 @@
         return new EngineRequest(Json.write(body), streaming);
     }
 
-    /** Returns the whole answer to a call that is not streaming. */
+    /** Returns the response body of a call that is not streaming. */
     static byte[] encodeResponse(Answer answer) {
         ObjectNode body = Json.mapper().createObjectNode();
         body.put("object", "text_completion");
@@ -61,21 +61,21 @@
         choice.put("index", 0);
         choice.put("text", new String(answer.body(), StandardCharsets.UTF_8));
         choice.put("finish_reason", "stop");
-        addEnd(body, answer.tokens(), answer.versions());
+        addUsageAndVersions(body, answer.tokens(), answer.versions());
         return Json.write(body);
     }
 
-    /** Returns the event for one piece of a streaming answer. */
+    /** Returns the server-sent event for one piece of a streaming response. */
     static String encodePieceEvent(byte[] data) {
         ObjectNode body = Json.mapper().createObjectNode();
         body.put("object", "text_completion");
         ObjectNode choice = body.putArray("choices").addObject();
         choice.put("index", 0);
         choice.put("text", new String(data, StandardCharsets.UTF_8));
-        return event(body);
+        return formatEvent(body);
     }
 
-    /** Returns the events that end a streaming answer. */
+    /** Returns the server-sent events that end a streaming response. */
     static String encodeEndEvents(Answer answer) {
         ObjectNode body = Json.mapper().createObjectNode();
         body.put("object", "text_completion");
@@ -83,16 +83,16 @@
         choice.put("index", 0);
         choice.put("text", "");
         choice.put("finish_reason", "stop");
-        addEnd(body, answer.tokens(), answer.versions());
-        return event(body) + "data: [DONE]\n\n";
+        addUsageAndVersions(body, answer.tokens(), answer.versions());
+        return formatEvent(body) + "data: [DONE]\n\n";
     }
 
-    private static void addEnd(ObjectNode body, int tokens, WeightVersions versions) {
+    private static void addUsageAndVersions(ObjectNode body, int tokens, WeightVersions versions) {
         body.putObject("usage").put("completion_tokens", tokens);
         versions.values().forEach(body.putArray("weight_versions")::add);
     }
 
-    private static String event(ObjectNode body) {
+    private static String formatEvent(ObjectNode body) {
         return "data: " + new String(Json.write(body), StandardCharsets.UTF_8) + "\n\n";
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
@@ -17,13 +17,13 @@
 import org.glassfish.grizzly.http.server.Request;
 
 /**
- * Operators' HTTP interface to the configuration: {@code GET} and {@code PUT /admin/config}, {@code
- * GET /admin/config/{version}}. Thread safe.
+ * HTTP interface to the configuration for operators: {@code GET} and {@code PUT /admin/config},
+ * {@code GET /admin/config/{version}}. Thread safe.
  */
 final class ConfigApi {
     static final String PREFIX = "/admin/config";
 
-    private static final String STEP = "http.config";
+    private static final String FAULT_STEP = "http.config";
     private static final int MAX_BYTES = 512 * 1024;
 
     private final EntryContext mContext;
@@ -33,19 +33,19 @@
     }
 
     void handle(Request request, Responder out) {
-        String rest = request.getRequestURI().substring(PREFIX.length());
+        String pathSuffix = request.getRequestURI().substring(PREFIX.length());
         String method = request.getMethod().getMethodString();
-        if (method.equals("GET") && rest.isEmpty()) {
+        if (method.equals("GET") && pathSuffix.isEmpty()) {
             mContext.mConfigStore
                     .read()
                     .thenAccept(
                             result ->
                                     result.fold(
-                                            current -> send(out, current.config()),
+                                            current -> sendConfig(out, current.config()),
                                             fault -> sendFault(out, fault)));
-        } else if (method.equals("GET") && rest.matches("/\\d{1,18}")) {
-            history(Long.parseLong(rest.substring(1)), out);
-        } else if (method.equals("PUT") && rest.isEmpty()) {
+        } else if (method.equals("GET") && pathSuffix.matches("/\\d{1,18}")) {
+            sendVersion(Long.parseLong(pathSuffix.substring(1)), out);
+        } else if (method.equals("PUT") && pathSuffix.isEmpty()) {
             RequestBodies.read(
                     mContext.mTimer,
                     request,
@@ -55,19 +55,22 @@
                                     body -> replace(request, body, out),
                                     fault -> sendFault(out, fault)));
         } else {
-            sendFault(out, notRun(FaultCode.NOT_FOUND, "no such operation"));
+            sendFault(out, notRunFault(FaultCode.NOT_FOUND, "no such operation"));
         }
     }
 
-    private void history(long version, Responder out) {
+    private void sendVersion(long version, Responder out) {
         mContext.mConfigStore
                 .readVersion(version)
                 .thenAccept(
                         result ->
                                 result.fold(
                                         found ->
-                                                found.map(config -> send(out, config))
-                                                        .orElseGet(() -> noVersion(out, version)),
+                                                found.map(config -> sendConfig(out, config))
+                                                        .orElseGet(
+                                                                () ->
+                                                                        sendVersionNotFound(
+                                                                                out, version)),
                                         fault -> sendFault(out, fault)));
     }
 
@@ -75,23 +78,24 @@
         String author = request.getParameter("author");
         String expected = request.getParameter("expect");
         if (author == null || expected == null || !expected.matches("\\d{1,18}")) {
-            return sendFault(out, notRun(FaultCode.BAD_REQUEST, "author and expect are needed"));
+            return sendFault(
+                    out, notRunFault(FaultCode.BAD_REQUEST, "author and expect are needed"));
         }
         String text;
         try {
             text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
         } catch (CharacterCodingException e) {
-            return sendFault(out, notRun(FaultCode.BAD_REQUEST, "the text is not UTF-8"));
+            return sendFault(out, notRunFault(FaultCode.BAD_REQUEST, "the text is not UTF-8"));
         }
         long version = Long.parseLong(expected);
         ConfigParser.Parsed parsed = ConfigParser.parse("config", text, version + 1);
         if (!parsed.isValid()) {
             return sendProblems(out, parsed);
         }
-        String given = request.getParameter("nonce");
+        String requestedNonce = request.getParameter("nonce");
         String nonce =
-                given != null && !given.isEmpty()
-                        ? given
+                requestedNonce != null && !requestedNonce.isEmpty()
+                        ? requestedNonce
                         : HexFormat.of().toHexDigits(ThreadLocalRandom.current().nextLong());
         mContext.mConfigStore
                 .replace(version, author, text, nonce)
@@ -106,16 +110,19 @@
         return true;
     }
 
-    /** Answers only when the configuration is in force here, so that the next call sees it. */
+    /**
+     * Responds only after this entry has adopted the configuration, so that the next call to it
+     * runs under the new version.
+     */
     private void adoptAndSend(StoredConfig config, Responder out) {
         mContext.mConfigLoop.post(
                 (machine, now) -> {
                     machine.onConfig(config.version(), config.text());
-                    send(out, config);
+                    sendConfig(out, config);
                 });
     }
 
-    private static boolean send(Responder out, StoredConfig config) {
+    private static boolean sendConfig(Responder out, StoredConfig config) {
         ObjectNode body = Json.mapper().createObjectNode();
         body.put("version", config.version());
         body.put("author", config.author());
@@ -129,8 +136,8 @@
         return false;
     }
 
-    private static boolean noVersion(Responder out, long version) {
-        return sendFault(out, notRun(FaultCode.NOT_FOUND, "no version " + version));
+    private static boolean sendVersionNotFound(Responder out, long version) {
+        return sendFault(out, notRunFault(FaultCode.NOT_FOUND, "no version " + version));
     }
 
     private static boolean sendProblems(Responder out, ConfigParser.Parsed parsed) {
@@ -146,7 +153,7 @@
         return false;
     }
 
-    private static Fault notRun(FaultCode code, String detail) {
-        return Fault.notRun(code, STEP, "", detail);
+    private static Fault notRunFault(FaultCode code, String detail) {
+        return Fault.notRun(code, FAULT_STEP, "", detail);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigOutputHandler.java
@@ -9,7 +9,7 @@
 import org.ebonyrun.core.config.ServiceSpec;
 import org.tinylog.Logger;
 
-/** Carries out what the configuration duty decides. Used on its thread. */
+/** Performs the outputs of the configuration machine. Confined to its event loop. */
 final class ConfigOutputHandler implements ConfigOutputs {
     private final EntryContext mContext;
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigWatcher.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigWatcher.java
@@ -8,14 +8,14 @@
 import org.tinylog.Logger;
 
 /**
- * Watches the configuration in the key-value service and hands it to the configuration duty.
+ * Watches the configuration in the key-value service and posts it to the configuration event loop.
  *
- * <p>One watch is open at a time; the next begins when it answers, or after a pause if it failed.
- * Thread safe.
+ * <p>One watch is open at a time. The next one starts when it completes, or after a delay if it
+ * failed. Thread safe.
  */
 final class ConfigWatcher {
     private static final long WATCH_MILLIS = 30_000;
-    private static final long PAUSE_MILLIS = 1_000;
+    private static final long RETRY_DELAY_MILLIS = 1_000;
 
     private final EntryContext mContext;
     private volatile long mRevision;
@@ -25,25 +25,25 @@
     }
 
     void start() {
-        mContext.mConfigStore.read().thenAccept(this::onAnswer);
+        mContext.mConfigStore.read().thenAccept(this::onResponse);
     }
 
-    private void onAnswer(Result<ConfigStore.CurrentConfig> result) {
+    private void onResponse(Result<ConfigStore.CurrentConfig> result) {
         result.fold(
                 current -> {
-                    onCurrent(current);
+                    onConfig(current);
                     return true;
                 },
                 fault -> {
                     if (!mContext.mTimer.isShutdown()) {
                         Logger.warn("config watch failed: {}", fault.detail());
-                        pause();
+                        retryLater();
                     }
                     return false;
                 });
     }
 
-    private void onCurrent(ConfigStore.CurrentConfig current) {
+    private void onConfig(ConfigStore.CurrentConfig current) {
         mRevision = Math.max(mRevision, current.revision());
         StoredConfig config = current.config();
         mContext.mConfigLoop.post(
@@ -53,15 +53,15 @@
 
     private void watch() {
         if (!mContext.mTimer.isShutdown()) {
-            mContext.mConfigStore.watch(mRevision, WATCH_MILLIS).thenAccept(this::onAnswer);
+            mContext.mConfigStore.watch(mRevision, WATCH_MILLIS).thenAccept(this::onResponse);
         }
     }
 
-    private void pause() {
+    private void retryLater() {
         try {
-            mContext.mTimer.schedule(this::watch, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+            mContext.mTimer.schedule(this::watch, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException ignored) {
-            // The entry is closing.
+            // The timer has shut down because the entry is closing.
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.core.routing.Work;
 import org.ebonyrun.daemon.link.PeerLink;
 
-/** Carries out what the dispatch duty decides. Used on its thread. */
+/** Performs the outputs of the dispatcher. Confined to the dispatch event loop. */
 final class DispatchOutputHandler implements DispatchOutputs {
     private final EntryContext mContext;
 
@@ -26,9 +26,9 @@
 
     @Override
     public void onPiece(Work work, byte[] data) {
-        CallListener sink = mContext.mCallListeners.get(work.id());
-        if (sink != null) {
-            sink.onPiece(data);
+        CallListener listener = mContext.mCallListeners.get(work.id());
+        if (listener != null) {
+            listener.onPiece(data);
         }
     }
 
@@ -36,9 +36,9 @@
     public void onAnswer(Work work, Answer answer) {
         long now = System.nanoTime();
         mContext.mTargetMonitor.onAnswered(work, now - work.arrivedAt(), now);
-        CallListener sink = mContext.mCallListeners.remove(work.id());
-        if (sink != null) {
-            sink.onAnswer(work, answer);
+        CallListener listener = mContext.mCallListeners.remove(work.id());
+        if (listener != null) {
+            listener.onAnswer(work, answer);
         }
     }
 
@@ -68,9 +68,9 @@
             return;
         }
         mContext.mTargetMonitor.onFault(work, fault, System.nanoTime());
-        CallListener sink = mContext.mCallListeners.remove(work.id());
-        if (sink != null) {
-            sink.onFault(fault);
+        CallListener listener = mContext.mCallListeners.remove(work.id());
+        if (listener != null) {
+            listener.onFault(fault);
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
@@ -47,15 +47,15 @@
 import org.ebonyrun.ports.weight.WeightStore;
 
 /**
- * The parts of one entry, wired together.
+ * Creates and connects the components of one entry.
  *
- * <p>Thread safe: all fields are final or concurrent, and each machine is touched on its duty's
- * thread only. The duties' threads start after every field is set; a link that opens before that is
- * closed, and its peer tries again.
+ * <p>Thread safe: all fields are final, volatile or concurrent, and each state machine is accessed
+ * on its event loop only. The event loops start after all fields are set. A link that opens earlier
+ * is closed, and its peer reconnects.
  */
 final class EntryContext implements AutoCloseable {
-    private static final int RING = 65_536;
-    private static final int SMALL_RING = 4_096;
+    private static final int RING_SIZE = 65_536;
+    private static final int SMALL_RING_SIZE = 4_096;
     private static final long TICK_NANOS = Nanos.ofMillis(20);
     private static final long SLOW_TICK_NANOS = Nanos.ofMillis(100);
 
@@ -143,17 +143,17 @@
                         new Random(mIncarnation),
                         new MembershipOutputHandler(this));
         mPlanner = WeightPlanner.create(self, new PlannerOutputHandler(this));
-        mDispatchLoop = duty("dispatch", RING, mDispatcher, TICK_NANOS);
-        mRolloutLoop = duty("rollout", RING, mRollout, TICK_NANOS);
-        mConfigLoop = duty("config", SMALL_RING, mConfig, SLOW_TICK_NANOS);
-        mMembershipLoop = duty("membership", SMALL_RING, mMembership, SLOW_TICK_NANOS);
-        mPlannerLoop = duty("weights", SMALL_RING, mPlanner, SLOW_TICK_NANOS);
+        mDispatchLoop = newLoop("dispatch", RING_SIZE, mDispatcher, TICK_NANOS);
+        mRolloutLoop = newLoop("rollout", RING_SIZE, mRollout, TICK_NANOS);
+        mConfigLoop = newLoop("config", SMALL_RING_SIZE, mConfig, SLOW_TICK_NANOS);
+        mMembershipLoop = newLoop("membership", SMALL_RING_SIZE, mMembership, SLOW_TICK_NANOS);
+        mPlannerLoop = newLoop("weights", SMALL_RING_SIZE, mPlanner, SLOW_TICK_NANOS);
         mMetrics.registerRingGauge(eventLoops());
         eventLoops().forEach(EventLoop::launch);
         mStarted = true;
     }
 
-    /** Returns all duties of the entry. */
+    /** Returns all event loops of the entry. */
     List<EventLoop<?>> eventLoops() {
         return List.of(mDispatchLoop, mRolloutLoop, mConfigLoop, mMembershipLoop, mPlannerLoop);
     }
@@ -177,9 +177,13 @@
                 "");
     }
 
-    private static <S extends Ticking> EventLoop<Command<S>> duty(
-            String name, int ring, S machine, long tickNanos) {
+    private static <S extends Ticking> EventLoop<Command<S>> newLoop(
+            String name, int ringSize, S machine, long tickNanos) {
         return EventLoop.create(
-                name, ring, StateMachineHandler.of(machine), MonotonicClock.system(), tickNanos);
+                name,
+                ringSize,
+                StateMachineHandler.of(machine),
+                MonotonicClock.system(),
+                tickNanos);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
@@ -19,12 +19,15 @@
 import org.glassfish.grizzly.http.server.HttpHandler;
 import org.glassfish.grizzly.http.server.HttpServer;
 
-/** One entry: callers', trainers' and operators' way in. Thread safe. */
+/**
+ * One entry process. Serves callers, trainers and operators over HTTP, and agents and other entries
+ * over links. Thread safe.
+ */
 public final class EntryNode implements AutoCloseable, ManagedNode {
-    private static final int HTTP_WORKERS = 4;
+    private static final int HTTP_WORKER_THREADS = 4;
 
     private final EntryContext mContext;
-    private final HttpServer mHttp;
+    private final HttpServer mHttpServer;
 
     private EntryNode(DaemonSettings settings) throws IOException {
         mContext = new EntryContext(settings);
@@ -37,13 +40,13 @@
         handlers.put(StepApi.PREFIX + "*", AdminHandlers.asyncHandler(steps::handle));
         handlers.put(ConfigApi.PREFIX, AdminHandlers.asyncHandler(config::handle));
         handlers.put(ConfigApi.PREFIX + "/*", AdminHandlers.asyncHandler(config::handle));
-        mHttp =
+        mHttpServer =
                 HttpServers.start(
                         new HttpServerSettings(
                                 "entry",
                                 settings.httpListen().host(),
                                 settings.httpListen().port(),
-                                HTTP_WORKERS),
+                                HTTP_WORKER_THREADS),
                         handlers);
     }
 
@@ -55,19 +58,19 @@
         return node;
     }
 
-    /** Returns the port for links. */
+    /** Returns the port on which the entry accepts links. */
     public int linkPort() {
         return mContext.mLinkPort;
     }
 
-    /** Returns how many bytes its links have carried, both ways. */
+    /** Returns how many bytes the links have carried in both directions. */
     public long linkBytes() {
         return mContext.mTransport.bytesReceived() + mContext.mTransport.bytesSent();
     }
 
-    /** Returns the port for HTTP. */
+    /** Returns the port on which the entry serves HTTP. */
     public int httpPort() {
-        return HttpServers.port(mHttp);
+        return HttpServers.port(mHttpServer);
     }
 
     @Override
@@ -103,7 +106,8 @@
     }
 
     private void status(Responder out) {
-        dump().thenCombine(mContext.mDispatchLoop.query(this::classes), EntryNode::withClasses)
+        dump().thenCombine(
+                        mContext.mDispatchLoop.query(this::classStatuses), EntryNode::withClasses)
                 .whenComplete(
                         (state, error) -> {
                             if (error == null) {
@@ -118,7 +122,7 @@
                         });
     }
 
-    private List<TargetMonitor.ClassStatus> classes() {
+    private List<TargetMonitor.ClassStatus> classStatuses() {
         return mContext.mTargetMonitor.status(
                 mContext.mCurrentConfig, mContext.mDispatcher.endpoints(), System.nanoTime());
     }
@@ -145,10 +149,10 @@
     }
 
     /**
-     * Refuses new work, waits until accepted calls and open pulls are answered, at most for the
-     * time in the settings, gives its leases up, and closes.
+     * Refuses new work, waits until the accepted calls and open pulls have their responses, at most
+     * for the drain time in the settings, releases its steps to other entries, and closes.
      *
-     * @return whether everything was finished
+     * @return whether all of them had their responses in time
      */
     public boolean drainAndClose() throws InterruptedException {
         drain();
@@ -158,19 +162,19 @@
             idle = mContext.mCallListeners.isEmpty() && mContext.mPendingStepRequests.isEmpty();
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        mContext.mRolloutLoop.query(this::handOver).join();
+        mContext.mRolloutLoop.query(this::handOverSteps).join();
         close();
         return idle;
     }
 
-    /** Closes at once, as a crash would. */
+    /** Closes immediately, without draining, so that peers see the same as after a crash. */
     @Override
     public void close() {
-        mHttp.shutdownNow();
+        mHttpServer.shutdownNow();
         mContext.close();
     }
 
-    private boolean handOver() {
+    private boolean handOverSteps() {
         mContext.mRollout
                 .handOver(System.nanoTime())
                 .forEach((key, revision) -> mContext.mLeaseClient.release(key, revision).join());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryPeerListener.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryPeerListener.java
@@ -14,7 +14,7 @@
 import org.ebonyrun.daemon.link.PeerListener;
 import org.tinylog.Logger;
 
-/** Hands what peers of an entry send to the duties. Thread safe. */
+/** Posts the messages and link events of an entry's peers to its event loops. Thread safe. */
 final class EntryPeerListener implements PeerListener {
     private final EntryContext mContext;
 
@@ -29,9 +29,9 @@
             return;
         }
         MembershipMessage.Hello hello = hello(peer);
-        PeerLink older = mContext.mPeersByVm.put(hello.vm(), peer);
-        if (older != null && older != peer && isAgent(hello)) {
-            older.link().close();
+        PeerLink previous = mContext.mPeersByVm.put(hello.vm(), peer);
+        if (previous != null && previous != peer && isAgent(hello)) {
+            previous.link().close();
         }
         Logger.info("peer={} address={} connected", hello.vm(), peer.link().peer());
         mContext.mMembershipLoop.post((machine, now) -> machine.onConnected(hello.vm(), now));
@@ -50,8 +50,8 @@
         VmId vm = hello(peer).vm();
         if (message instanceof AttemptMessage attempt) {
             onAttempt(vm, attempt);
-        } else if (message instanceof MembershipMessage.Heartbeat beat) {
-            onHeartbeat(peer, beat);
+        } else if (message instanceof MembershipMessage.Heartbeat heartbeat) {
+            onHeartbeat(peer, heartbeat);
         } else if (message instanceof ConfigMessage config) {
             long link = peer.number();
             mContext.mConfigLoop.post((machine, now) -> machine.onMessage(link, config));
@@ -89,24 +89,24 @@
     }
 
     private void onAttempt(VmId vm, AttemptMessage message) {
-        boolean held =
+        boolean isForRollout =
                 message instanceof AttemptMessage.SampleContent
                         || message instanceof AttemptMessage.HeldSamples;
-        if (held) {
+        if (isForRollout) {
             mContext.mRolloutLoop.post((machine, now) -> machine.onMessage(vm, message, now));
         } else {
             mContext.mDispatchLoop.post((machine, now) -> machine.onMessage(vm, message, now));
         }
     }
 
-    private void onHeartbeat(PeerLink peer, MembershipMessage.Heartbeat beat) {
+    private void onHeartbeat(PeerLink peer, MembershipMessage.Heartbeat heartbeat) {
         MembershipMessage.Hello hello = hello(peer);
         VmId vm = hello.vm();
-        EndpointLoad load = beat.load();
+        EndpointLoad load = heartbeat.load();
         boolean leaving = load != null && load.leaving();
         mContext.mMembershipLoop.post(
                 (machine, now) -> machine.onMessageReceived(vm, leaving, now));
-        long version = beat.configVersion();
+        long version = heartbeat.configVersion();
         if (version != mContext.mCurrentConfig.version()) {
             long link = peer.number();
             mContext.mConfigLoop.post((machine, now) -> machine.onPeerVersion(link, version));
@@ -127,7 +127,8 @@
     private static MembershipMessage.Hello hello(PeerLink peer) {
         MembershipMessage.Hello hello = peer.hello();
         if (hello == null) {
-            throw new IllegalStateException("link is not introduced: " + peer.link().peer());
+            throw new IllegalStateException(
+                    "no hello received on the link with " + peer.link().peer());
         }
         return hello;
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/FaultResponses.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/FaultResponses.java
@@ -5,7 +5,7 @@
 import org.ebonyrun.daemon.store.Json;
 import org.ebonyrun.ports.http.Responder;
 
-/** Writes faults as HTTP answers. Stateless and thread safe. */
+/** Writes faults as HTTP responses. Stateless and thread safe. */
 final class FaultResponses {
     static final String JSON_CONTENT_TYPE = "application/json";
 
@@ -13,7 +13,7 @@
 
     private FaultResponses() {}
 
-    /** Returns the JSON of a fault. */
+    /** Returns the response body of a fault. */
     static byte[] toJson(Fault fault) {
         ObjectNode error = Json.mapper().createObjectNode();
         error.put("code", fault.code().wireName());
@@ -27,7 +27,7 @@
         return Json.write(body);
     }
 
-    /** Answers a request with a fault. */
+    /** Responds to a request with a fault. */
     static void send(Responder out, Fault fault) {
         if (fault.retryAfterMillis() > 0) {
             long seconds = Math.max(1, fault.retryAfterMillis() / MILLIS_PER_SECOND);
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/InstrumentedKeyValueStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/InstrumentedKeyValueStore.java
@@ -9,7 +9,7 @@
 import org.ebonyrun.ports.kv.KeyValueStore;
 import org.ebonyrun.ports.kv.WriteOutcome;
 
-/** Counts the calls to a key-value service by kind. Thread safe. */
+/** Counts the calls to a key-value store by kind and success. Thread safe. */
 final class InstrumentedKeyValueStore implements KeyValueStore {
     private final KeyValueStore mStore;
     private final NodeMetrics mMetrics;
@@ -53,8 +53,8 @@
     }
 
     private <T> CompletableFuture<Result<T>> count(
-            String kind, CompletableFuture<Result<T>> answer) {
-        return answer.whenComplete(
+            String kind, CompletableFuture<Result<T>> response) {
+        return response.whenComplete(
                 (result, error) ->
                         mMetrics.recordKeyValueCall(kind, error == null && result.isOk()));
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/LeaseOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/LeaseOutputHandler.java
@@ -8,42 +8,46 @@
 import org.ebonyrun.daemon.store.LeaseClient;
 
 /**
- * Asks the key-value service about leases and hands its answers to the duty that holds them.
+ * Sends requests about leases to the key-value service and posts the responses to the event loop of
+ * the state machine that owns the leases.
  *
  * <p>Immutable and thread safe.
  *
- * @param <M> the state machine of the duty
+ * @param <M> the type of the state machine
  */
 final class LeaseOutputHandler<M extends LeaseListener> implements LeaseOutputs {
-    private final Supplier<LeaseClient> mClient;
-    private final Supplier<EventLoop<Command<M>>> mDuty;
+    private final Supplier<LeaseClient> mLeaseClient;
+    private final Supplier<EventLoop<Command<M>>> mEventLoop;
 
-    LeaseOutputHandler(Supplier<LeaseClient> client, Supplier<EventLoop<Command<M>>> duty) {
-        mClient = client;
-        mDuty = duty;
+    LeaseOutputHandler(
+            Supplier<LeaseClient> leaseClient, Supplier<EventLoop<Command<M>>> eventLoop) {
+        mLeaseClient = leaseClient;
+        mEventLoop = eventLoop;
     }
 
     @Override
     public void acquire(String key) {
-        mClient.get()
+        mLeaseClient
+                .get()
                 .acquire(key)
                 .thenApply(
                         result ->
                                 result.<Command<M>>fold(
-                                        reading -> (m, now) -> m.onLeaseRecord(key, reading, now),
+                                        current -> (m, now) -> m.onLeaseRecord(key, current, now),
                                         fault -> (m, now) -> m.onLeaseUnavailable(key, now)))
-                .thenAccept(command -> mDuty.get().post(command));
+                .thenAccept(command -> mEventLoop.get().post(command));
     }
 
     @Override
     public void renew(String key, long revision) {
-        mClient.get()
+        mLeaseClient
+                .get()
                 .renew(key, revision)
                 .thenApply(
                         result ->
                                 result.<Command<M>>fold(
                                         granted -> (m, now) -> m.onLeaseRenewed(key, granted, now),
                                         fault -> (m, now) -> m.onLeaseUnavailable(key, now)))
-                .thenAccept(command -> mDuty.get().post(command));
+                .thenAccept(command -> mEventLoop.get().post(command));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PendingStepRequests.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PendingStepRequests.java
@@ -18,131 +18,136 @@
 
 /**
  * Requests about steps that wait for their reply: from trainers, from other entries, and those
- * passed on to other entries.
+ * forwarded to other entries.
  *
- * <p>Thread safe. Each request's sink is called exactly once.
+ * <p>Thread safe. Each request's callback is called exactly once, unless the link on which the
+ * request came is lost.
  */
 final class PendingStepRequests {
-    private static final long GRACE_MILLIS = 5_000;
-    private static final long RETRY_MILLIS = 300;
+    private static final long REPLY_GRACE_MILLIS = 5_000;
+    private static final long RETRY_AFTER_MILLIS = 300;
 
     private final EntryContext mContext;
     private final AtomicLong mIds = new AtomicLong();
-    private final Map<Long, Waiting> mWaiting = new ConcurrentHashMap<>();
-    private final Map<Long, Passed> mPassed = new ConcurrentHashMap<>();
+    private final Map<Long, PendingRequest> mPending = new ConcurrentHashMap<>();
+    private final Map<Long, ForwardedRequest> mForwarded = new ConcurrentHashMap<>();
 
     PendingStepRequests(EntryContext context) {
         mContext = context;
     }
 
-    /** A request that waits for its reply, and the link it came on, if any. */
-    private record Waiting(Consumer<StepReply> sink, @Nullable Link from) {}
+    /** A request that waits for its reply, and the link on which it came, if any. */
+    private record PendingRequest(Consumer<StepReply> callback, @Nullable Link from) {}
 
-    /** A request that was passed on. */
-    private record Passed(Link to, StepRequest request) {}
+    /** A request that was forwarded to another entry. */
+    private record ForwardedRequest(Link to, StepRequest request) {}
 
-    /** Returns whether no request waits. */
+    /** Returns whether no request waits for its reply. */
     boolean isEmpty() {
-        return mWaiting.isEmpty();
+        return mPending.isEmpty();
     }
 
-    /** Begins a request of a trainer. */
-    void begin(StepRequest request, long waitMillis, Consumer<StepReply> sink) {
-        begin(request, waitMillis, false, new Waiting(sink, null));
+    /** Accepts a request of a trainer. */
+    void begin(StepRequest request, long waitMillis, Consumer<StepReply> callback) {
+        begin(request, waitMillis, false, new PendingRequest(callback, null));
     }
 
-    /** Begins a request that another entry passed on. */
+    /** Accepts a request that another entry forwarded. */
     void beginForwarded(PeerLink peer, RolloutMessage.Forward forward) {
-        Consumer<StepReply> sink =
+        Consumer<StepReply> callback =
                 reply -> peer.link().send(new RolloutMessage.Forwarded(forward.requestId(), reply));
         long wait = forward.request() instanceof StepRequest.Pull pull ? pull.waitMillis() : 0;
-        begin(forward.request(), wait, true, new Waiting(sink, peer.link()));
+        begin(forward.request(), wait, true, new PendingRequest(callback, peer.link()));
     }
 
-    private void begin(StepRequest request, long waitMillis, boolean forwarded, Waiting waiting) {
+    private void begin(
+            StepRequest request, long waitMillis, boolean forwarded, PendingRequest pending) {
         long id = mIds.incrementAndGet();
-        mWaiting.put(id, waiting);
+        mPending.put(id, pending);
         boolean accepted =
                 mContext.mRolloutLoop.offer(
                         (machine, now) -> machine.onRequest(id, request, forwarded, now));
         if (!accepted) {
             Fault fault =
                     Fault.notRun(FaultCode.OVERLOADED, "entry.ring", "", "the entry is overloaded");
-            complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_MILLIS)));
+            complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_AFTER_MILLIS)));
             return;
         }
         mContext.mTimer.schedule(
-                () -> timeOut(id), waitMillis + GRACE_MILLIS, TimeUnit.MILLISECONDS);
+                () -> timeOut(id), waitMillis + REPLY_GRACE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Answers a request that was passed on, if the answer comes from where it was passed to. */
+    /** Completes a forwarded request if the reply comes over the link on which it was forwarded. */
     void completeForwarded(Link from, RolloutMessage.Forwarded forwarded) {
-        Passed passed = mPassed.get(forwarded.requestId());
-        if (passed != null && passed.to() == from) {
+        ForwardedRequest target = mForwarded.get(forwarded.requestId());
+        if (target != null && target.to() == from) {
             complete(forwarded.requestId(), forwarded.reply());
         }
     }
 
-    /** Answers a request; does nothing if it was answered before. */
+    /** Completes a request; does nothing if it is complete already. */
     void complete(long id, StepReply reply) {
-        mPassed.remove(id);
-        Waiting waiting = mWaiting.remove(id);
-        if (waiting != null) {
-            waiting.sink().accept(reply);
+        mForwarded.remove(id);
+        PendingRequest pending = mPending.remove(id);
+        if (pending != null) {
+            pending.callback().accept(reply);
         }
     }
 
-    /** Passes a request on to the owner of the step. */
+    /** Forwards a request to the owner of the step. */
     void forward(LeaseHolder owner, long id, StepRequest request) {
-        PeerLink known = mContext.mPeersByVm.get(owner.vm());
+        PeerLink connected = mContext.mPeersByVm.get(owner.vm());
         CompletableFuture<Link> link =
-                known != null && known.link().isOpen()
-                        ? CompletableFuture.completedFuture(known.link())
+                connected != null && connected.link().isOpen()
+                        ? CompletableFuture.completedFuture(connected.link())
                         : mContext.mTransport.connect(owner.host(), owner.port());
         link.whenComplete(
-                (open, error) -> {
-                    if (error != null || open == null) {
-                        unreachable(id, request);
+                (openLink, error) -> {
+                    if (error != null || openLink == null) {
+                        failUnreachable(id, request);
                         return;
                     }
-                    mPassed.put(id, new Passed(open, request));
-                    if (!open.send(new RolloutMessage.Forward(id, request))) {
-                        unreachable(id, request);
+                    mForwarded.put(id, new ForwardedRequest(openLink, request));
+                    if (!openLink.send(new RolloutMessage.Forward(id, request))) {
+                        failUnreachable(id, request);
                     }
                 });
     }
 
-    /** Takes note of a lost link: what was passed on over it, or came on it, ends. */
+    /**
+     * Handles a lost link: fails the requests that were forwarded over it, and drops those that
+     * came on it.
+     */
     void onLinkLost(Link link) {
-        mPassed.forEach(
-                (id, passed) -> {
-                    if (passed.to() == link) {
-                        unreachable(id, passed.request());
+        mForwarded.forEach(
+                (id, target) -> {
+                    if (target.to() == link) {
+                        failUnreachable(id, target.request());
                     }
                 });
-        mWaiting.forEach(
-                (id, waiting) -> {
-                    if (waiting.from() == link && mWaiting.remove(id) != null) {
+        mPending.forEach(
+                (id, pending) -> {
+                    if (pending.from() == link && mPending.remove(id) != null) {
                         mContext.mRolloutLoop.post((machine, now) -> machine.cancelRequest(id));
                     }
                 });
     }
 
-    private void unreachable(long id, StepRequest request) {
+    private void failUnreachable(long id, StepRequest request) {
         mContext.mRolloutLoop.post(
                 (machine, now) -> machine.onOwnerUnreachable(request.trainer(), now));
         Fault fault =
                 Fault.unknown(
                         FaultCode.OWNER_UNAVAILABLE, "step.forward", "", "the owner went away");
-        complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_MILLIS)));
+        complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_AFTER_MILLIS)));
     }
 
     private void timeOut(long id) {
-        if (mWaiting.containsKey(id)) {
+        if (mPending.containsKey(id)) {
             mContext.mRolloutLoop.post((machine, now) -> machine.cancelRequest(id));
             Fault fault =
                     Fault.unknown(FaultCode.DEADLINE, "step.wait", "", "no reply of the owner");
-            complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_MILLIS)));
+            complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_AFTER_MILLIS)));
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerOutputHandler.java
@@ -8,26 +8,26 @@
 import org.ebonyrun.core.weights.WeightPlanner;
 import org.ebonyrun.daemon.link.PeerLink;
 
-/** Carries out what the weight planner decides. Used on the weight duty's thread. */
+/** Performs the outputs of the weight planner. Confined to its event loop. */
 final class PlannerOutputHandler implements PlannerOutputs {
     private final EntryContext mContext;
-    private final LeaseOutputs mLeases;
+    private final LeaseOutputs mLeaseOutputs;
 
     PlannerOutputHandler(EntryContext context) {
         mContext = context;
-        mLeases =
+        mLeaseOutputs =
                 new LeaseOutputHandler<WeightPlanner>(
                         () -> context.mLeaseClient, () -> context.mPlannerLoop);
     }
 
     @Override
     public void acquire(String key) {
-        mLeases.acquire(key);
+        mLeaseOutputs.acquire(key);
     }
 
     @Override
     public void renew(String key, long revision) {
-        mLeases.renew(key, revision);
+        mLeaseOutputs.renew(key, revision);
     }
 
     @Override
@@ -60,7 +60,8 @@
     @Override
     public String peerSource(VmId vm, ServiceName service, long version) {
         PeerLink peer = mContext.mPeersByVm.get(vm);
-        String base = peer == null || peer.hello() == null ? "" : peer.hello().weightSource();
-        return base + "/weights/" + version;
+        String baseAddress =
+                peer == null || peer.hello() == null ? "" : peer.hello().weightSource();
+        return baseAddress + "/weights/" + version;
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
@@ -23,29 +23,29 @@
 import org.ebonyrun.daemon.link.PeerLink;
 import org.jspecify.annotations.Nullable;
 
-/** Carries out what the rollout duty decides. Used on its thread. */
+/** Performs the outputs of the rollout machine. Confined to its event loop. */
 final class RolloutOutputHandler implements RolloutOutputs {
-    private static final ClassName SCORING = ClassName.of("scoring");
-    private static final long SCORE_NANOS = Nanos.ofMillis(3_000);
+    private static final ClassName SCORING_CLASS = ClassName.of("scoring");
+    private static final long SCORE_TIMEOUT_NANOS = Nanos.ofMillis(3_000);
 
     private final EntryContext mContext;
-    private final LeaseOutputs mLeases;
+    private final LeaseOutputs mLeaseOutputs;
 
     RolloutOutputHandler(EntryContext context) {
         mContext = context;
-        mLeases =
+        mLeaseOutputs =
                 new LeaseOutputHandler<RolloutMachine>(
                         () -> context.mLeaseClient, () -> context.mRolloutLoop);
     }
 
     @Override
     public void acquire(String key) {
-        mLeases.acquire(key);
+        mLeaseOutputs.acquire(key);
     }
 
     @Override
     public void renew(String key, long revision) {
-        mLeases.renew(key, revision);
+        mLeaseOutputs.renew(key, revision);
     }
 
     @Override
@@ -114,8 +114,9 @@
     @Override
     public void broadcast(ServiceName service, AttemptMessage message) {
         for (PeerLink peer : mContext.mPeersByVm.values()) {
-            boolean serves = peer.hello() != null && peer.hello().service().equals(service.value());
-            if (serves) {
+            boolean isOfService =
+                    peer.hello() != null && peer.hello().service().equals(service.value());
+            if (isOfService) {
                 peer.link().send(message);
             }
         }
@@ -130,11 +131,11 @@
                         id,
                         WorkKind.CALL,
                         scorer,
-                        SCORING,
+                        SCORING_CLASS,
                         0,
                         now,
-                        now + SCORE_NANOS,
-                        now + SCORE_NANOS,
+                        now + SCORE_TIMEOUT_NANOS,
+                        now + SCORE_TIMEOUT_NANOS,
                         true,
                         false,
                         "/score",
@@ -143,7 +144,7 @@
                         0,
                         null,
                         0);
-        mContext.mCallListeners.put(id, new ScoreSink(key));
+        mContext.mCallListeners.put(id, new ScoreListener(key));
         mContext.mDispatchLoop.post((machine, at) -> machine.submit(work, at));
     }
 
@@ -172,11 +173,11 @@
         return mContext.mWorkIds.incrementAndGet();
     }
 
-    /** Passes a score on to the rollout duty. Used on the dispatch duty. */
-    private final class ScoreSink implements CallListener {
+    /** Posts a score to the rollout event loop. Called on the dispatch event loop. */
+    private final class ScoreListener implements CallListener {
         private final SampleKey mKey;
 
-        ScoreSink(SampleKey key) {
+        ScoreListener(SampleKey key) {
             mKey = key;
         }
 
@@ -186,15 +187,15 @@
         @Override
         public void onAnswer(Work work, Answer answer) {
             boolean success = answer.status() / 100 == 2;
-            tell(success ? new String(answer.body(), StandardCharsets.UTF_8).strip() : null);
+            postScore(success ? new String(answer.body(), StandardCharsets.UTF_8).strip() : null);
         }
 
         @Override
         public void onFault(Fault fault) {
-            tell(null);
+            postScore(null);
         }
 
-        private void tell(@Nullable String score) {
+        private void postScore(@Nullable String score) {
             mContext.mRolloutLoop.post((machine, now) -> machine.onScored(mKey, score, now));
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepApi.java
@@ -20,17 +20,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Trainers' HTTP interface: {@code PUT}, {@code DELETE} and {@code POST .../pull} of {@code
- * /v1/trainers/{trainer}/steps/{step}}. Thread safe.
+ * HTTP interface to steps for trainers: {@code PUT}, {@code DELETE} and {@code POST .../pull} of
+ * {@code /v1/trainers/{trainer}/steps/{step}}. Thread safe.
  */
 final class StepApi {
     static final String PREFIX = "/v1/trainers/";
 
-    private static final String STEP = "http.step";
+    private static final String FAULT_STEP = "http.step";
     private static final int MAX_SUBMIT_BYTES = 32 << 20;
     private static final long MAX_WAIT_MILLIS = 30_000;
-    private static final int MAX_PULL = 4_096;
-    private static final int PATH_PARTS = 3;
+    private static final int MAX_PULL_SAMPLES = 4_096;
+    private static final int STEP_PATH_PARTS = 3;
 
     private final EntryContext mContext;
 
@@ -38,32 +38,33 @@
         mContext = context;
     }
 
-    /** The body of a submission. */
+    /** The body of a request that submits a step. */
     private record SubmitBody(
             @JsonProperty("class") String className,
             @JsonProperty("version") long version,
             @JsonProperty("groups") List<PromptGroup> groups) {}
 
-    /** The body of a pull. */
+    /** The body of a request that pulls samples. */
     private record PullBody(
             @JsonProperty("cursor") @Nullable String cursor,
             @JsonProperty("version") long version,
             @JsonProperty("max") int max,
             @JsonProperty("wait_ms") long waitMillis) {}
 
-    /** What a request's path says. */
+    /** The trainer, step and action that a request's path names. */
     private record Target(TrainerId trainer, long step, String action) {}
 
     void handle(Request request, Responder out) {
         if (mContext.mDraining) {
-            FaultResponses.send(out, notRun(FaultCode.DRAINING, "the entry is shutting down"));
+            FaultResponses.send(out, notRunFault(FaultCode.DRAINING, "the entry is shutting down"));
             return;
         }
         Target target;
         try {
-            target = target(request.getRequestURI());
+            target = parseTarget(request.getRequestURI());
         } catch (IllegalArgumentException e) {
-            FaultResponses.send(out, notRun(FaultCode.NOT_FOUND, String.valueOf(e.getMessage())));
+            FaultResponses.send(
+                    out, notRunFault(FaultCode.NOT_FOUND, String.valueOf(e.getMessage())));
             return;
         }
         RequestBodies.read(
@@ -73,7 +74,11 @@
                 result ->
                         result.fold(
                                 body -> {
-                                    run(request.getMethod().getMethodString(), target, body, out);
+                                    handleBody(
+                                            request.getMethod().getMethodString(),
+                                            target,
+                                            body,
+                                            out);
                                     return true;
                                 },
                                 fault -> {
@@ -82,19 +87,20 @@
                                 }));
     }
 
-    private void run(String method, Target target, byte[] body, Responder out) {
+    private void handleBody(String method, Target target, byte[] body, Responder out) {
         StepRequest request;
         try {
-            request = request(method, target, body);
+            request = parseRequest(method, target, body);
         } catch (IllegalArgumentException e) {
-            FaultResponses.send(out, notRun(FaultCode.BAD_REQUEST, String.valueOf(e.getMessage())));
+            FaultResponses.send(
+                    out, notRunFault(FaultCode.BAD_REQUEST, String.valueOf(e.getMessage())));
             return;
         }
         long wait = request instanceof StepRequest.Pull pull ? pull.waitMillis() : 0;
-        mContext.mPendingStepRequests.begin(request, wait, reply -> answer(request, reply, out));
+        mContext.mPendingStepRequests.begin(request, wait, reply -> sendReply(request, reply, out));
     }
 
-    private static StepRequest request(String method, Target target, byte[] body) {
+    private static StepRequest parseRequest(String method, Target target, byte[] body) {
         if (method.equals("PUT") && target.action().isEmpty()) {
             SubmitBody submit = Json.read(body, SubmitBody.class);
             if (submit.className() == null) {
@@ -115,7 +121,11 @@
                     target.step(),
                     pull.cursor() == null ? "" : pull.cursor(),
                     pull.version(),
-                    Math.max(1, Math.min(MAX_PULL, pull.max() == 0 ? MAX_PULL : pull.max())),
+                    Math.max(
+                            1,
+                            Math.min(
+                                    MAX_PULL_SAMPLES,
+                                    pull.max() == 0 ? MAX_PULL_SAMPLES : pull.max())),
                     Math.max(0, Math.min(MAX_WAIT_MILLIS, pull.waitMillis())));
         }
         if (method.equals("DELETE") && target.action().isEmpty()) {
@@ -124,13 +134,13 @@
         throw new IllegalArgumentException("no such operation: " + method + " " + target.action());
     }
 
-    private static Target target(String uri) {
+    private static Target parseTarget(String uri) {
         String[] parts = uri.substring(PREFIX.length()).split("/");
-        boolean known = parts.length >= PATH_PARTS && parts[1].equals("steps");
-        if (!known || parts.length > PATH_PARTS + 1) {
+        boolean isStepPath = parts.length >= STEP_PATH_PARTS && parts[1].equals("steps");
+        if (!isStepPath || parts.length > STEP_PATH_PARTS + 1) {
             throw new IllegalArgumentException("no such path: " + uri);
         }
-        String action = parts.length > PATH_PARTS ? parts[PATH_PARTS] : "";
+        String action = parts.length > STEP_PATH_PARTS ? parts[STEP_PATH_PARTS] : "";
         long step = Long.parseLong(parts[2]);
         if (step < 0) {
             throw new IllegalArgumentException("a step is not negative: " + step);
@@ -138,7 +148,7 @@
         return new Target(TrainerId.of(parts[0]), step, action);
     }
 
-    private static void answer(StepRequest request, StepReply reply, Responder out) {
+    private static void sendReply(StepRequest request, StepReply reply, Responder out) {
         Fault fault = reply.fault();
         if (fault != null) {
             FaultResponses.send(out, fault);
@@ -157,7 +167,7 @@
         out.sendWhole(200, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
     }
 
-    private static Fault notRun(FaultCode code, String detail) {
-        return Fault.notRun(code, STEP, "", detail);
+    private static Fault notRunFault(FaultCode code, String detail) {
+        return Fault.notRun(code, FAULT_STEP, "", detail);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/VmDirectoryPoller.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/VmDirectoryPoller.java
@@ -7,8 +7,8 @@
 import org.ebonyrun.ports.vm.VmRecord;
 
 /**
- * Reads the platform's list of VMs now and again: the longer the list, the less often, so that its
- * bytes stay within the budget of a node's control traffic.
+ * Polls the platform's list of VMs. The period grows with the length of the list, so that the
+ * transferred bytes stay within the budget of a node's control traffic.
  *
  * <p>Thread safe.
  */
@@ -27,26 +27,26 @@
         mContext.mVmDirectory
                 .list()
                 .thenAccept(
-                        result -> schedule(result.fold(this::hand, fault -> MIN_PERIOD_MILLIS)));
+                        result -> schedule(result.fold(this::post, fault -> MIN_PERIOD_MILLIS)));
     }
 
     private void schedule(long periodMillis) {
         try {
             mContext.mTimer.schedule(this::start, periodMillis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException ignored) {
-            // The entry is closing.
+            // The timer has shut down because the entry is closing.
         }
     }
 
-    /** Hands a list to the membership duty and returns when to read the next. */
-    private long hand(List<VmRecord> records) {
-        List<Peer> peers = records.stream().map(VmDirectoryPoller::peer).toList();
+    /** Posts a list to the membership event loop; returns the delay before the next poll. */
+    private long post(List<VmRecord> records) {
+        List<Peer> peers = records.stream().map(VmDirectoryPoller::toPeer).toList();
         mContext.mMembershipLoop.post((machine, now) -> machine.onVmList(peers, now));
-        long period = Math.max(MIN_PERIOD_MILLIS, records.size() * MILLIS_PER_VM);
-        return Math.min(MAX_PERIOD_MILLIS, period);
+        long periodMillis = Math.max(MIN_PERIOD_MILLIS, records.size() * MILLIS_PER_VM);
+        return Math.min(MAX_PERIOD_MILLIS, periodMillis);
     }
 
-    private static Peer peer(VmRecord vm) {
+    private static Peer toPeer(VmRecord vm) {
         return new Peer(
                 vm.vm(),
                 vm.role().equals(VmRecord.ROLE_ENDPOINT),
