--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/Attempt.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/Attempt.java
@@ -5,9 +5,9 @@
 import org.ebonyrun.base.id.AttemptId;
 import org.ebonyrun.base.time.Nanos;
 
-/** One attempt at an agent. Not thread safe; confined to the attempt duty. */
+/** An open attempt at an agent. Not thread safe; confined to the attempt event loop. */
 final class Attempt {
-    /** Where an attempt stands. */
+    /** Execution state of an attempt. */
     enum Phase {
         QUEUED,
         RUNNING
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptLimits.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptLimits.java
@@ -3,15 +3,15 @@
 /**
  * Limits of one agent.
  *
- * @param slots how many attempts run at once
- * @param maxQueued how many calls wait at most
- * @param maxHeldBytes bytes of finished samples above which no sample is started
+ * @param slots the number of attempts that may run concurrently
+ * @param maxQueued the maximum length of the queue, above which calls are refused
+ * @param maxHeldBytes the total size of held samples, in bytes, at which new samples are refused
  */
 public record AttemptLimits(int slots, int maxQueued, long maxHeldBytes) {
-    /** Bytes of finished samples held by default. */
+    /** Default limit of the total size of held samples, in bytes. */
     public static final long DEFAULT_MAX_HELD_BYTES = 32L << 20;
 
-    /** Calls that wait by default. */
+    /** Default limit of the queue length. */
     public static final int DEFAULT_MAX_QUEUED = 256;
 
     /** Returns the default limits for an endpoint with the given number of slots. */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
@@ -18,43 +18,44 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides what an agent does with the attempts that entries offer to its endpoint.
+ * State machine of an agent: admits, queues, starts and cancels the attempts that entries offer to
+ * its endpoint, and holds finished samples.
  *
- * <p>Invariants: an attempt id starts at most once; {@code Refused} is sent only for an attempt
+ * <p>Invariants: an attempt ID starts at most once; {@code Refused} is sent only for an attempt
  * that was never handed to the endpoint; every accepted attempt whose link is open ends in exactly
  * one of {@code Done}, {@code SampleFinished}, {@code Failed} or {@code Refused}; a finished sample
- * is held until it is released; nothing new starts once draining.
+ * is held until it is released; a draining agent accepts no new attempts.
  *
- * <p>Not thread safe; confined to the attempt duty.
+ * <p>Not thread safe; confined to the attempt event loop.
  */
 public final class AttemptMachine implements Ticking {
     private static final long MIN_RETRY_MILLIS = 50;
-    private static final long URGENT_NANOS = Nanos.ofMillis(5_000);
+    private static final long URGENT_WINDOW_NANOS = Nanos.ofMillis(5_000);
 
-    private final VmId mSelf;
+    private final VmId mVm;
     private final AttemptOutputs mOutputs;
     private final AttemptPolicy mPolicy;
     private final SampleAdmission mAdmission;
-    private final SeenAttempts mSeen = new SeenAttempts();
-    private final ServiceTimes mTimes = new ServiceTimes();
-    private final SampleStore mStore = new SampleStore();
+    private final SeenAttempts mSeenAttempts = new SeenAttempts();
+    private final ServiceTimes mServiceTimes = new ServiceTimes();
+    private final SampleStore mSampleStore = new SampleStore();
     private final Map<AttemptId, Attempt> mAttempts = new LinkedHashMap<>();
     private final TreeMap<QueueOrder.QueuedWork, Attempt> mQueue;
-    private final StepOwners mOwners = new StepOwners();
+    private final StepOwners mStepOwners = new StepOwners();
     private AttemptLimits mLimits;
-    private long mArrivals;
+    private long mArrivalCount;
     private long mVersion;
     private boolean mSwapping;
-    private boolean mReachable = true;
+    private boolean mEndpointReachable = true;
     private boolean mDraining;
-    private long mUrgentUntil;
+    private long mUrgentSamplesUntil;
     private int mRunning;
     private long mDuplicates;
     private long mUnknownEvents;
 
     private AttemptMachine(
-            VmId self, AttemptLimits limits, AttemptPolicy policy, AttemptOutputs outputs) {
-        mSelf = self;
+            VmId vm, AttemptLimits limits, AttemptPolicy policy, AttemptOutputs outputs) {
+        mVm = vm;
         mLimits = limits;
         mPolicy = policy;
         mAdmission = policy.admission().get();
@@ -62,13 +63,17 @@
         mQueue = new TreeMap<>(policy.order().comparator());
     }
 
-    /** Creates a machine for one endpoint. */
+    /** Creates the state machine of one endpoint. */
     public static AttemptMachine create(
-            VmId self, AttemptLimits limits, AttemptPolicy policy, AttemptOutputs outputs) {
-        return new AttemptMachine(self, limits, policy, outputs);
+            VmId vm, AttemptLimits limits, AttemptPolicy policy, AttemptOutputs outputs) {
+        return new AttemptMachine(vm, limits, policy, outputs);
     }
 
-    /** Handles a message of an entry. */
+    /**
+     * Handles a message from an entry.
+     *
+     * @param link the number of the link that the message arrived on
+     */
     public void onMessage(long link, AttemptMessage message, long now) {
         if (message instanceof AttemptMessage.Offer offer) {
             onOffer(link, offer, now);
@@ -77,7 +82,7 @@
         } else if (message instanceof AttemptMessage.FetchSample fetch) {
             onFetch(link, fetch.key(), now);
         } else if (message instanceof AttemptMessage.ReleaseSamples release) {
-            release.keys().forEach(mStore::release);
+            release.keys().forEach(mSampleStore::release);
         } else if (message instanceof AttemptMessage.HeldQuery query) {
             onHeldQuery(link, query, now);
         } else if (message instanceof AttemptMessage.CloseStep close) {
@@ -87,20 +92,23 @@
         }
     }
 
-    /** Handles the loss of an entry: its idempotent calls are stopped, samples go on. */
+    /**
+     * Handles the loss of the link to an entry. Cancels its queued calls and its idempotent calls.
+     * Samples and running non-idempotent calls continue.
+     */
     public void onLinkClosed(long link, long now) {
         for (Attempt attempt : List.copyOf(mAttempts.values())) {
-            boolean abandon = attempt.mPhase == Attempt.Phase.QUEUED || attempt.mJob.idempotent();
-            if (attempt.mLink == link && !attempt.isSample() && abandon) {
+            boolean cancels = attempt.mPhase == Attempt.Phase.QUEUED || attempt.mJob.idempotent();
+            if (attempt.mLink == link && !attempt.isSample() && cancels) {
                 onCancel(attempt.mId, now);
             }
         }
     }
 
     /**
-     * Handles a piece of the endpoint's answer.
+     * Handles a piece of the endpoint's response.
      *
-     * @param version the weight version stated with the piece; zero for none
+     * @param version the weight version that the endpoint reports with the piece; zero for none
      */
     public void onPiece(AttemptId id, byte[] data, int tokens, long version, long now) {
         Attempt attempt = mAttempts.get(id);
@@ -122,7 +130,7 @@
         attempt.mPieces++;
     }
 
-    /** Handles the end of the endpoint's whole answer. */
+    /** Handles the end of a complete response of the endpoint. */
     public void onEnd(AttemptId id, int status, String contentType, long now) {
         Attempt attempt = remove(id);
         if (attempt == null) {
@@ -131,23 +139,23 @@
         }
         boolean success = status / 100 == 2;
         if (success) {
-            mTimes.add(attempt.mJob.className(), Nanos.toMillis(now - attempt.mStartedAt));
+            mServiceTimes.add(attempt.mJob.className(), Nanos.toMillis(now - attempt.mStartedAt));
         }
         if (!attempt.isSample()) {
             mAdmission.onCallEnd(now <= attempt.mTargetAt, attempt.mJob.targetQuantile());
-            mOutputs.send(attempt.mLink, done(attempt, status, contentType, now));
+            mOutputs.send(attempt.mLink, doneMessage(attempt, status, contentType, now));
         } else if (success) {
             finishSample(attempt, now);
         } else {
-            fail(attempt, endpointError("status " + status), now);
+            fail(attempt, endpointErrorFault("status " + status), now);
         }
-        pump(now);
+        startQueued(now);
     }
 
     /**
      * Handles the failure of an attempt.
      *
-     * @param sent whether a byte of the job may have reached the endpoint
+     * @param sent whether any byte of the job may have reached the endpoint
      */
     public void onFailure(AttemptId id, boolean sent, FaultCode code, String detail, long now) {
         Attempt attempt = remove(id);
@@ -157,47 +165,50 @@
         }
         String step = sent ? "endpoint.answer" : "endpoint.connect";
         if (sent) {
-            fail(attempt, Fault.unknown(code, step, mSelf.value(), detail), now);
+            fail(attempt, Fault.unknown(code, step, mVm.value(), detail), now);
         } else {
-            Fault fault = Fault.notRun(code, step, mSelf.value(), detail);
+            Fault fault = Fault.notRun(code, step, mVm.value(), detail);
             refuse(attempt.mLink, id, fault.withRetryAfterMillis(MIN_RETRY_MILLIS), now);
         }
-        pump(now);
+        startQueued(now);
     }
 
-    /** Takes note of the version and the number of slots that the endpoint states. */
+    /** Updates the weight version and the number of slots that the endpoint reports. */
     public void onEndpointState(long version, int slots, long now) {
         mVersion = version;
-        mReachable = true;
+        mEndpointReachable = true;
         mLimits = new AttemptLimits(slots, mLimits.maxQueued(), mLimits.maxHeldBytes());
-        pump(now);
+        startQueued(now);
     }
 
-    /** Takes note that the endpoint does not answer; nothing is accepted until it does. */
+    /**
+     * Marks the endpoint as unreachable. No attempt is accepted until the next {@link
+     * #onEndpointState}.
+     */
     public void onEndpointUnreachable() {
-        mReachable = false;
+        mEndpointReachable = false;
     }
 
-    /** Takes note that a swap of weights began or ended. */
+    /** Updates whether a weight swap is in progress. */
     public void onSwapping(boolean swapping, long now) {
         mSwapping = swapping;
-        pump(now);
+        startQueued(now);
     }
 
-    /** Refuses new work from now on; what was accepted is finished. */
+    /** Starts draining: new work is refused, accepted work is completed. */
     public void onDrain() {
         mDraining = true;
     }
 
-    /** Returns whether a draining agent may exit: no attempt is open and no sample is held. */
+    /** Returns whether no attempt is open and no sample is held, so a draining agent may exit. */
     public boolean isIdle() {
-        return mAttempts.isEmpty() && mStore.size() == 0;
+        return mAttempts.isEmpty() && mSampleStore.size() == 0;
     }
 
-    /** Returns the load to report. */
+    /** Returns the load to report to entries. */
     public EndpointLoad load(long now) {
         return new EndpointLoad(
-                mReachable ? mLimits.slots() : 0,
+                mEndpointReachable ? mLimits.slots() : 0,
                 mRunning,
                 mQueue.size(),
                 sampleRoom(now),
@@ -207,26 +218,26 @@
                 urgentRoom());
     }
 
-    /** Returns the state for a dump. */
+    /** Returns a snapshot of the state for the admin dump. */
     public Dump dump(long now) {
         return new Dump(
                 load(now),
                 mAttempts.size(),
-                mStore.size(),
-                mStore.totalBytes(),
+                mSampleStore.size(),
+                mSampleStore.totalBytes(),
                 mDuplicates,
                 mUnknownEvents);
     }
 
     /**
-     * The state of the machine for people.
+     * A snapshot of the state for operators.
      *
      * @param load the load
-     * @param attempts open attempts
-     * @param held finished samples
-     * @param heldBytes their size in bytes
-     * @param duplicates offers that were ignored because their id had arrived before
-     * @param unknownEvents events of attempts that are closed or unknown
+     * @param attempts the number of open attempts
+     * @param held the number of finished samples held
+     * @param heldBytes the total size of these samples, in bytes
+     * @param duplicates the number of offers ignored because their ID had arrived before
+     * @param unknownEvents the number of events ignored because their attempt is closed or unknown
      */
     public record Dump(
             EndpointLoad load,
@@ -241,113 +252,118 @@
         mAdmission.updateOpenCalls(openCalls(), now);
         for (Attempt attempt : List.copyOf(mAttempts.values())) {
             if (now - attempt.mDeadline >= 0) {
-                giveUp(attempt, now);
+                timeOut(attempt, now);
             }
         }
         releaseOrphans(now);
-        pump(now);
+        startQueued(now);
     }
 
-    /** Releases what is held of steps whose owners have been silent for long; it can run again. */
+    /** Releases the held samples of orphaned steps. A later owner can run these samples again. */
     private void releaseOrphans(long now) {
-        mOwners.removeOrphans(now).forEach(this::releaseStep);
+        mStepOwners.removeOrphans(now).forEach(this::releaseStep);
     }
 
     private void releaseStep(StepKey step) {
-        mStore.findByStep(step.trainer(), step.step()).forEach(held -> mStore.release(held.key()));
+        mSampleStore
+                .findByStep(step.trainer(), step.step())
+                .forEach(held -> mSampleStore.release(held.key()));
     }
 
     private void onOffer(long link, AttemptMessage.Offer offer, long now) {
-        if (!mSeen.add(offer.id())) {
+        if (!mSeenAttempts.add(offer.id())) {
             mDuplicates++;
             return;
         }
         Job job = offer.job();
-        Fault refusal = refusal(link, job, now);
+        Fault refusal = checkAdmission(link, job, now);
         if (refusal != null) {
             refuse(link, offer.id(), refusal, now);
             return;
         }
-        long service = mTimes.medianMillis(job.className());
-        Attempt attempt = new Attempt(offer.id(), job, link, mArrivals++, service, now);
+        long service = mServiceTimes.medianMillis(job.className());
+        Attempt attempt = new Attempt(offer.id(), job, link, mArrivalCount++, service, now);
         mAttempts.put(offer.id(), attempt);
         mQueue.put(attempt.mQueueKey, attempt);
         mAdmission.updateOpenCalls(openCalls(), now);
-        pump(now);
+        startQueued(now);
     }
 
-    private @Nullable Fault refusal(long link, Job job, long now) {
+    private @Nullable Fault checkAdmission(long link, Job job, long now) {
         if (mDraining) {
-            return notRun(FaultCode.DRAINING, "the endpoint is leaving");
+            return notRunFault(FaultCode.DRAINING, "the endpoint is draining");
         }
-        if (!mReachable) {
-            return notRun(FaultCode.NO_ENDPOINT, "the endpoint does not answer");
+        if (!mEndpointReachable) {
+            return notRunFault(FaultCode.NO_ENDPOINT, "the endpoint is unreachable");
         }
         if (job.minVersion() > mVersion) {
-            String detail = "version " + mVersion + " is below " + job.minVersion();
-            return notRun(FaultCode.STALE_WEIGHTS, detail);
+            String detail = "weight version " + mVersion + " is below " + job.minVersion();
+            return notRunFault(FaultCode.STALE_WEIGHTS, detail);
         }
         if (job.sample() != null) {
-            return sampleRefusal(link, job, job.sample(), now);
+            return checkSampleAdmission(link, job, job.sample(), now);
         }
         if (mQueue.size() >= mLimits.maxQueued()) {
-            return notRun(FaultCode.OVERLOADED, "the queue is full");
+            return notRunFault(FaultCode.OVERLOADED, "the queue is full");
         }
         int ahead = callsAhead(now);
         int slots = callSlots(now);
         if (mPolicy.refusesLateCalls()
                 && ahead > 0
-                && predictedMillis(job, ahead, slots) > job.targetMillis()) {
+                && predictMillis(job, ahead, slots) > job.targetMillis()) {
             mAdmission.onCallEnd(false, job.targetQuantile());
-            double wait = ahead * mTimes.meanMillis(job.className()) / slots;
-            return notRun(FaultCode.OVERLOADED, "the target would be missed")
+            double wait = ahead * mServiceTimes.meanMillis(job.className()) / slots;
+            return notRunFault(FaultCode.OVERLOADED, "the call would miss its target latency")
                     .withRetryAfterMillis(Math.max(MIN_RETRY_MILLIS, (long) wait));
         }
         return null;
     }
 
-    private @Nullable Fault sampleRefusal(long link, Job job, SampleKey key, long now) {
+    private @Nullable Fault checkSampleAdmission(long link, Job job, SampleKey key, long now) {
         StepKey step = StepKey.of(key);
-        if (mOwners.isFenced(step, job.fence())) {
-            String detail = "fence " + job.fence() + " is below " + mOwners.highestFence(step);
-            return notRun(FaultCode.FENCED, detail);
+        if (mStepOwners.isFenced(step, job.fence())) {
+            String detail = "fence " + job.fence() + " is below " + mStepOwners.highestFence(step);
+            return notRunFault(FaultCode.FENCED, detail);
         }
-        mOwners.setOwner(step, link, job.fence(), now);
-        int room = sampleRoom(now);
+        mStepOwners.setOwner(step, link, job.fence(), now);
+        int available = sampleRoom(now);
         if (job.isUrgentSample()) {
-            room = Math.max(room, urgentRoom());
-            mUrgentUntil = now + URGENT_NANOS;
+            available = Math.max(available, urgentRoom());
+            mUrgentSamplesUntil = now + URGENT_WINDOW_NANOS;
         }
-        if (room <= 0) {
-            return notRun(FaultCode.OVERLOADED, "no room for samples");
+        if (available <= 0) {
+            return notRunFault(FaultCode.OVERLOADED, "no slot is free for samples");
         }
         return null;
     }
 
-    /** Returns how many calls must end before one more can start; zero if it starts at once. */
+    /** Returns how many calls must end before a new one starts; zero if it starts immediately. */
     private int callsAhead(long now) {
         return Math.max(0, openCalls() - callSlots(now) + 1);
     }
 
     /**
-     * Returns the slots that samples leave to calls. While urgent samples come, they are taken to
-     * fill their part.
+     * Returns the number of slots that samples leave to calls. While urgent samples arrive, the
+     * slots that they may use count as occupied.
      */
     private int callSlots(long now) {
         int samples = mAttempts.size() - openCalls();
         int urgent =
-                now < mUrgentUntil ? mAdmission.admissibleUrgentSamples(mLimits.slots(), 0) : 0;
+                now < mUrgentSamplesUntil
+                        ? mAdmission.admissibleUrgentSamples(mLimits.slots(), 0)
+                        : 0;
         return Math.max(1, mLimits.slots() - Math.max(samples, urgent));
     }
 
     /**
-     * Predicts the quantile of a call's time to its end when others are ahead of it: the mean wait,
-     * the mean service, and the deviation of both together, in which that of the wait shrinks with
-     * the number of slots that work it off.
+     * Predicts the target quantile of a call's latency, in milliseconds, when {@code ahead} calls
+     * must end before it starts. The prediction is the mean wait plus the mean service time plus
+     * the combined deviation of both. The deviation of the wait shrinks with the number of slots
+     * that serve the queue in parallel.
      */
-    private double predictedMillis(Job job, int ahead, int callSlots) {
-        double mean = mTimes.meanMillis(job.className());
-        double quantile = mTimes.quantileMillis(job.className(), job.targetQuantile());
+    private double predictMillis(Job job, int ahead, int callSlots) {
+        double mean = mServiceTimes.meanMillis(job.className());
+        double quantile = mServiceTimes.quantileMillis(job.className(), job.targetQuantile());
         double wait = ahead * mean / callSlots;
         double deviation = Math.max(0, quantile - mean);
         double widening = Math.sqrt(1 + (double) ahead / (callSlots * callSlots));
@@ -356,7 +372,7 @@
 
     private int sampleRoom(long now) {
         int calls = openCalls();
-        return takesSamples()
+        return acceptsSamples()
                 ? mAdmission.admissibleSamples(
                         mLimits.slots(), calls, mAttempts.size() - calls, now)
                 : 0;
@@ -364,14 +380,14 @@
 
     private int urgentRoom() {
         int samples = mAttempts.size() - openCalls();
-        return takesSamples() ? mAdmission.admissibleUrgentSamples(mLimits.slots(), samples) : 0;
+        return acceptsSamples() ? mAdmission.admissibleUrgentSamples(mLimits.slots(), samples) : 0;
     }
 
-    private boolean takesSamples() {
+    private boolean acceptsSamples() {
         return !mDraining
-                && mReachable
+                && mEndpointReachable
                 && !mSwapping
-                && mStore.totalBytes() < mLimits.maxHeldBytes();
+                && mSampleStore.totalBytes() < mLimits.maxHeldBytes();
     }
 
     private int openCalls() {
@@ -384,7 +400,7 @@
         return calls;
     }
 
-    private void pump(long now) {
+    private void startQueued(long now) {
         while (mRunning < mLimits.slots() && !mQueue.isEmpty()) {
             Attempt next = mQueue.pollFirstEntry().getValue();
             next.mPhase = Attempt.Phase.RUNNING;
@@ -402,20 +418,20 @@
         if (attempt.mPhase == Attempt.Phase.RUNNING) {
             mOutputs.stop(id);
         }
-        pump(now);
+        startQueued(now);
     }
 
-    private void giveUp(Attempt attempt, long now) {
+    private void timeOut(Attempt attempt, long now) {
         remove(attempt.mId);
-        String detail = "timeout of " + attempt.mJob.timeoutMillis() + " ms";
+        String detail = "timeout of " + attempt.mJob.timeoutMillis() + " ms exceeded";
         if (attempt.mPhase == Attempt.Phase.QUEUED) {
-            refuse(attempt.mLink, attempt.mId, notRun(FaultCode.DEADLINE, detail), now);
+            refuse(attempt.mLink, attempt.mId, notRunFault(FaultCode.DEADLINE, detail), now);
             return;
         }
         mOutputs.stop(attempt.mId);
         fail(
                 attempt,
-                Fault.unknown(FaultCode.DEADLINE, "endpoint.answer", mSelf.value(), detail),
+                Fault.unknown(FaultCode.DEADLINE, "endpoint.answer", mVm.value(), detail),
                 now);
     }
 
@@ -436,17 +452,17 @@
         SampleKey key = requireNonNull(attempt.mJob.sample());
         byte[] content = attempt.mContent.toByteArray();
         SampleInfo info = new SampleInfo(content.length, attempt.mTokens, attempt.versions());
-        SampleStore.StoredSample stored = mStore.addIfAbsent(key, info, content);
+        SampleStore.StoredSample stored = mSampleStore.addIfAbsent(key, info, content);
         mOutputs.send(
                 ownerLink(attempt, key),
                 new AttemptMessage.SampleFinished(attempt.mId, key, stored.info(), load(now)));
     }
 
     private long ownerLink(Attempt attempt, SampleKey key) {
-        return mOwners.ownerLink(StepKey.of(key), attempt.mLink);
+        return mStepOwners.ownerLink(StepKey.of(key), attempt.mLink);
     }
 
-    private AttemptMessage done(Attempt attempt, int status, String contentType, long now) {
+    private AttemptMessage doneMessage(Attempt attempt, int status, String contentType, long now) {
         return new AttemptMessage.Done(
                 attempt.mId,
                 attempt.mPieces,
@@ -468,8 +484,8 @@
     }
 
     private void onFetch(long link, SampleKey key, long now) {
-        mOwners.touch(StepKey.of(key), now);
-        SampleStore.StoredSample stored = mStore.get(key);
+        mStepOwners.touch(StepKey.of(key), now);
+        SampleStore.StoredSample stored = mSampleStore.get(key);
         mOutputs.send(
                 link,
                 stored == null
@@ -479,10 +495,10 @@
 
     private void onHeldQuery(long link, AttemptMessage.HeldQuery query, long now) {
         StepKey step = new StepKey(query.trainer(), query.step());
-        if (mOwners.isFenced(step, query.fence())) {
+        if (mStepOwners.isFenced(step, query.fence())) {
             return;
         }
-        mOwners.setOwner(step, link, query.fence(), now);
+        mStepOwners.setOwner(step, link, query.fence(), now);
         List<SampleKey> running = new ArrayList<>();
         for (Attempt attempt : mAttempts.values()) {
             SampleKey key = attempt.mJob.sample();
@@ -495,16 +511,16 @@
                 new AttemptMessage.HeldSamples(
                         query.trainer(),
                         query.step(),
-                        mStore.findByStep(query.trainer(), query.step()),
+                        mSampleStore.findByStep(query.trainer(), query.step()),
                         running));
     }
 
     private void onCloseStep(AttemptMessage.CloseStep close, long now) {
         StepKey step = new StepKey(close.trainer(), close.step());
-        if (mOwners.isFenced(step, close.fence())) {
+        if (mStepOwners.isFenced(step, close.fence())) {
             return;
         }
-        mOwners.remove(step);
+        mStepOwners.remove(step);
         for (Attempt attempt : List.copyOf(mAttempts.values())) {
             SampleKey key = attempt.mJob.sample();
             if (key != null && step.equals(StepKey.of(key))) {
@@ -514,12 +530,12 @@
         releaseStep(step);
     }
 
-    private Fault notRun(FaultCode code, String detail) {
-        return Fault.notRun(code, "agent.admit", mSelf.value(), detail)
+    private Fault notRunFault(FaultCode code, String detail) {
+        return Fault.notRun(code, "agent.admit", mVm.value(), detail)
                 .withRetryAfterMillis(MIN_RETRY_MILLIS);
     }
 
-    private Fault endpointError(String detail) {
-        return Fault.failed(FaultCode.ENDPOINT_ERROR, "endpoint.answer", mSelf.value(), detail);
+    private Fault endpointErrorFault(String detail) {
+        return Fault.failed(FaultCode.ENDPOINT_ERROR, "endpoint.answer", mVm.value(), detail);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMessage.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMessage.java
@@ -8,37 +8,37 @@
 import org.ebonyrun.base.wire.Message;
 import org.jspecify.annotations.Nullable;
 
-/** Messages between an entry and an endpoint's agent about attempts and samples. Immutable. */
+/** Messages about attempts and samples between an entry and an endpoint's agent. Immutable. */
 public sealed interface AttemptMessage extends Message {
     /**
-     * Asks the agent to run a job.
+     * Offers a job to the agent.
      *
-     * @param id the attempt, echoed in every answer
+     * @param id the ID of the attempt, echoed in every reply
      */
     record Offer(AttemptId id, Job job) implements AttemptMessage {}
 
-    /** Gives an attempt up; no answer follows. */
+    /** Cancels an attempt; the agent sends no reply. */
     record CancelAttempt(AttemptId id) implements AttemptMessage {}
 
     /**
-     * Tells that the job was never handed to the endpoint.
+     * Refuses an attempt whose job was never handed to the endpoint.
      *
      * @param fault the reason; its outcome is {@code not-run}
      */
     record Refused(AttemptId id, Fault fault, EndpointLoad load) implements AttemptMessage {}
 
     /**
-     * Carries a part of the answer.
+     * Carries a piece of the response.
      *
-     * @param index the number of the piece, from zero
+     * @param index the index of the piece, starting at zero
      */
     record Piece(AttemptId id, int index, byte[] data) implements AttemptMessage {}
 
     /**
-     * Marks the end of a whole answer.
+     * Marks the end of a complete response.
      *
-     * @param pieces the number of pieces that belong to the answer
-     * @param status the endpoint's HTTP status
+     * @param pieces the number of pieces in the response
+     * @param status the HTTP status of the endpoint
      */
     record Done(
             AttemptId id,
@@ -50,54 +50,55 @@
             EndpointLoad load)
             implements AttemptMessage {}
 
-    /** Tells that an attempt ended without an answer. */
+    /** Reports that an attempt ended without a complete response. */
     record Failed(AttemptId id, Fault fault, EndpointLoad load) implements AttemptMessage {}
 
-    /** Tells that a sample is finished and held until released. */
+    /** Reports that a sample is finished and is held until it is released. */
     record SampleFinished(AttemptId id, SampleKey key, SampleInfo info, EndpointLoad load)
             implements AttemptMessage {}
 
-    /** Reports load without an answer. */
+    /** Reports the load outside of a reply. */
     record LoadReport(EndpointLoad load) implements AttemptMessage {}
 
-    /** Asks for the content of a held sample. */
+    /** Requests the content of a held sample. */
     record FetchSample(SampleKey key) implements AttemptMessage {}
 
     /**
      * Carries the content of a held sample.
      *
      * @param content the content; null if the sample is not held
+     * @param info its description; null if the sample is not held
      */
     record SampleContent(SampleKey key, byte @Nullable [] content, @Nullable SampleInfo info)
             implements AttemptMessage {}
 
-    /** Releases samples that the trainer has, or that nobody wants any more. */
+    /** Releases samples that were delivered to the trainer or are no longer needed. */
     record ReleaseSamples(List<SampleKey> keys) implements AttemptMessage {}
 
     /**
-     * Takes over a step and asks what is held and what runs of it.
+     * Announces the new owner of a step, and requests its held samples and running attempts.
      *
      * @param fence the fence of the new owner
      */
     record HeldQuery(TrainerId trainer, long step, long fence) implements AttemptMessage {}
 
     /**
-     * Answers a {@link HeldQuery}.
+     * Replies to a {@link HeldQuery}.
      *
-     * @param held finished samples
-     * @param running slots whose attempt still runs
+     * @param held the finished samples of the step
+     * @param running the slots that still have an open attempt
      */
     record HeldSamples(TrainerId trainer, long step, List<HeldSample> held, List<SampleKey> running)
             implements AttemptMessage {}
 
     /**
-     * One finished sample that an agent holds.
+     * A finished sample that an agent holds.
      *
-     * @param key the slot
+     * @param key the slot that it fills
      * @param info its description
      */
     record HeldSample(SampleKey key, SampleInfo info) {}
 
-    /** Ends a step: its attempts are cancelled and its samples released. */
+    /** Closes a step: the agent cancels its attempts and releases its samples. */
     record CloseStep(TrainerId trainer, long step, long fence) implements AttemptMessage {}
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptOutputs.java
@@ -2,14 +2,17 @@
 
 import org.ebonyrun.base.id.AttemptId;
 
-/** What the attempt duty does to the world. Called on the duty's thread; must not block. */
+/**
+ * Performs the actions that an {@link AttemptMachine} decides on. Called on the attempt event
+ * loop's thread; must not block.
+ */
 public interface AttemptOutputs {
     /** Sends a message to the entry on the given link. */
     void send(long link, AttemptMessage message);
 
-    /** Hands a job to the endpoint. */
+    /** Sends a job to the endpoint. */
     void start(AttemptId id, Job job);
 
-    /** Tells the endpoint to stop an attempt. */
+    /** Cancels a running attempt at the endpoint. */
     void stop(AttemptId id);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/CallReserveAdmission.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/CallReserveAdmission.java
@@ -1,10 +1,11 @@
 package org.ebonyrun.core.attempt;
 
 /**
- * Keeps slots free for calls by a {@link CallReserve}. Samples whose target has passed may have
- * half of the slots all the same: when neither side's targets can be met, both get an equal part.
+ * Reserves slots for calls by a {@link CallReserve}. Samples whose target has passed may use half
+ * of the slots regardless of the reserve: when neither calls nor samples can meet their targets,
+ * each side gets an equal share.
  *
- * <p>Not thread safe; confined to the attempt duty.
+ * <p>Not thread safe; confined to the attempt event loop.
  */
 final class CallReserveAdmission implements SampleAdmission {
     private final CallReserve mReserve = new CallReserve();
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/EndpointLoad.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/EndpointLoad.java
@@ -3,17 +3,18 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * What an endpoint's agent says of itself on every answer. On the wire it is an array, because it
- * is part of every heartbeat; a newer peer may add components at the end.
+ * The load that an endpoint's agent reports with every reply and heartbeat. It is encoded as an
+ * array to keep heartbeats small; newer peers may append components at the end.
  *
- * @param slots how many attempts run at once
- * @param running attempts that run
- * @param queued calls that wait
- * @param sampleRoom how many more samples it would start now
- * @param version the weight version read off the endpoint; zero for a plain service
- * @param swapping whether weights are being swapped
- * @param leaving whether it takes no new work
- * @param urgentRoom how many samples whose target has passed it would start, calls or not
+ * @param slots the number of attempts that may run concurrently
+ * @param running the number of running attempts
+ * @param queued the number of waiting attempts
+ * @param sampleRoom how many more samples the agent would accept now
+ * @param version the weight version that the endpoint reports; zero for a plain service
+ * @param swapping whether a weight swap is in progress
+ * @param leaving whether the agent is draining
+ * @param urgentRoom how many more samples whose target has passed the agent would accept now,
+ *     regardless of calls
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record EndpointLoad(
@@ -25,12 +26,12 @@
         boolean swapping,
         boolean leaving,
         int urgentRoom) {
-    /** Returns the load of an endpoint that has reported nothing. */
+    /** Returns the load to assume of an endpoint that has not reported any: it has no slots. */
     public static EndpointLoad unknown() {
         return new EndpointLoad(0, 0, 0, 0, 0, false, false, 0);
     }
 
-    /** Returns how many calls would start at once. */
+    /** Returns the number of calls that would start immediately; negative if calls wait. */
     public int freeSlots() {
         return slots - running - queued;
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SampleAdmission.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SampleAdmission.java
@@ -3,58 +3,64 @@
 import java.util.function.IntBinaryOperator;
 
 /**
- * Decides how many samples an endpoint may start beside its calls.
+ * Decides how many samples an agent admits beside the calls of its endpoint.
  *
- * <p>Implementations are not thread safe; confined to the attempt duty.
+ * <p>Implementations are not thread safe; confined to the attempt event loop.
  */
 public interface SampleAdmission {
     /**
-     * Returns how many more samples may start.
+     * Returns how many more samples may be admitted.
      *
-     * @param slots how many attempts run at once
-     * @param calls calls that run or wait
-     * @param samples samples that run or wait
+     * @param slots the number of attempts that may run concurrently
+     * @param calls the number of calls that run or wait
+     * @param samples the number of samples that run or wait
      */
     int admissibleSamples(int slots, int calls, int samples, long now);
 
     /**
-     * Returns how many more samples whose target has passed may start.
+     * Returns how many more samples whose target has passed may be admitted.
      *
-     * @param samples samples that run or wait
+     * @param slots the number of attempts that may run concurrently
+     * @param samples the number of samples that run or wait
      */
     default int admissibleUrgentSamples(int slots, int samples) {
         return 0;
     }
 
-    /** Takes note of the number of calls that run or wait. */
+    /** Updates the number of calls that run or wait. */
     default void updateOpenCalls(int calls, long now) {}
 
     /**
-     * Takes note of the end of a call; a refused one counts as late.
+     * Records the end of a call. A refused call counts as late.
      *
+     * @param inTime whether the call met its target
      * @param quantile the share of calls of its class that must be in time
      */
     default void onCallEnd(boolean inTime, double quantile) {}
 
-    /** Takes note of generated tokens. */
+    /** Records generated tokens. */
     default void onTokens(WorkKind kind, int tokens) {}
 
-    /** Returns the rule that keeps slots for the calls that may come, learned from recent ones. */
+    /** Returns the policy that reserves slots for future calls, estimated from recent calls. */
     static SampleAdmission callReserve() {
         return new CallReserveAdmission();
     }
 
-    /** Returns the rule that gives every free slot to samples. */
+    /** Returns the policy that admits samples to every free slot. */
     static SampleAdmission freeSlots() {
         return stateless((slots, busy) -> slots - busy);
     }
 
-    /** Returns the rule that gives free slots to whoever has generated fewer tokens. */
+    /**
+     * Returns the policy that admits samples to free slots only while they have not generated more
+     * tokens than the calls.
+     */
     static SampleAdmission tokenCounter() {
         return new TokenCounterAdmission();
     }
 
-    private static SampleAdmission stateless(IntBinaryOperator room) {
-        return (slots, calls, samples, now) -> Math.max(0, room.applyAsInt(slots, calls + samples));
+    private static SampleAdmission stateless(IntBinaryOperator freeSlots) {
+        return (slots, calls, samples, now) ->
+                Math.max(0, freeSlots.applyAsInt(slots, calls + samples));
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SampleStore.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SampleStore.java
@@ -9,12 +9,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finished samples that are held until released.
+ * Finished samples that are held until they are released.
  *
- * <p>Invariant: at most one sample a slot; the first one that finishes stays. Nothing is evicted:
- * the agent refuses new samples while the store is full.
+ * <p>Invariant: at most one sample per slot; the first finished sample of a slot is kept. Nothing
+ * is evicted: the agent refuses new samples while the store is full.
  *
- * <p>Not thread safe; confined to the attempt duty.
+ * <p>Not thread safe; confined to the attempt event loop.
  */
 final class SampleStore {
     private final Map<SampleKey, StoredSample> mSamples = new HashMap<>();
@@ -23,11 +23,11 @@
     /** A finished sample and its content. */
     record StoredSample(SampleInfo info, byte[] content) {}
 
-    /** Stores a sample unless the slot is filled; returns what the slot holds now. */
+    /** Stores a sample unless its slot is filled. Returns the sample that the slot holds. */
     StoredSample addIfAbsent(SampleKey key, SampleInfo info, byte[] content) {
-        StoredSample present = mSamples.get(key);
-        if (present != null) {
-            return present;
+        StoredSample existing = mSamples.get(key);
+        if (existing != null) {
+            return existing;
         }
         StoredSample stored = new StoredSample(info, content);
         mSamples.put(key, stored);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SeenAttempts.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/SeenAttempts.java
@@ -6,12 +6,13 @@
 import org.ebonyrun.base.id.AttemptId;
 
 /**
- * Remembers which attempt ids arrived, so that a repeated offer is recognised.
+ * The attempt IDs that have arrived, for detecting duplicate offers.
  *
- * <p>Keeps a window of {@value #WINDOW} ids for each of the {@value #MAX_INCARNATIONS} most recent
- * incarnations. An id older than its window counts as seen, which errs towards not running twice.
+ * <p>Keeps a window of {@value #WINDOW} IDs for each of the {@value #MAX_INCARNATIONS} most
+ * recently used incarnations. An ID older than its window counts as seen: refusing an attempt that
+ * is new is safer than running one twice.
  *
- * <p>Not thread safe; confined to the attempt duty.
+ * <p>Not thread safe; confined to the attempt event loop.
  */
 final class SeenAttempts {
     private static final int WINDOW = 16_384;
@@ -27,12 +28,12 @@
                 }
             };
 
-    /** Records an id and returns whether it is new. */
+    /** Records an ID and returns whether it is new. */
     boolean add(AttemptId id) {
         return mWindows.computeIfAbsent(id.incarnation(), key -> new Window()).add(id.counter());
     }
 
-    /** The recent ids of one incarnation. */
+    /** The recent IDs of one incarnation, as a ring of bits indexed by counter modulo its size. */
     private static final class Window {
         private final BitSet mBits = new BitSet();
         private long mHighest = -1;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/ServiceTimes.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/ServiceTimes.java
@@ -5,9 +5,9 @@
 import org.ebonyrun.base.id.ClassName;
 
 /**
- * Service times learned per class.
+ * Statistics of the recent service times of each class of work.
  *
- * <p>Not thread safe; confined to the duty that owns it.
+ * <p>Not thread safe; confined to the event loop that owns it.
  */
 public final class ServiceTimes {
     private static final int WINDOW = 128;
@@ -20,20 +20,20 @@
         mByClass.computeIfAbsent(name, key -> RotatingHistogram.create(WINDOW)).add(millis);
     }
 
-    /** Returns the median service time in milliseconds; zero while nothing is known. */
+    /** Returns the median service time in milliseconds; zero if none has been measured. */
     public long medianMillis(ClassName name) {
         return quantileMillis(name, MEDIAN);
     }
 
-    /** Returns the mean service time in milliseconds; zero while nothing is known. */
+    /** Returns the mean service time in milliseconds; zero if none has been measured. */
     public double meanMillis(ClassName name) {
-        RotatingHistogram known = mByClass.get(name);
-        return known == null ? 0 : known.mean(0);
+        RotatingHistogram times = mByClass.get(name);
+        return times == null ? 0 : times.mean(0);
     }
 
-    /** Returns a quantile of the service time in milliseconds; zero while nothing is known. */
+    /** Returns a quantile of the service time in milliseconds; zero if none has been measured. */
     public long quantileMillis(ClassName name, double q) {
-        RotatingHistogram known = mByClass.get(name);
-        return known == null ? 0 : known.quantile(q, 0);
+        RotatingHistogram times = mByClass.get(name);
+        return times == null ? 0 : times.quantile(q, 0);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/StepOwners.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/StepOwners.java
@@ -9,14 +9,14 @@
 import org.ebonyrun.base.time.Nanos;
 
 /**
- * Which entry owns which step, as an agent has heard it.
+ * The owners of steps, as far as entries have announced them to the agent.
  *
- * <p>Invariant: the fence of a step never decreases while the step is known.
+ * <p>Invariant: the fence of a step never decreases until the step is removed.
  *
- * <p>Not thread safe; confined to the attempt duty.
+ * <p>Not thread safe; confined to the attempt event loop.
  */
 final class StepOwners {
-    private static final long ORPHAN_NANOS = Nanos.ofMillis(1_800_000);
+    private static final long ORPHAN_TIMEOUT_NANOS = Nanos.ofMillis(1_800_000);
 
     private final Map<StepKey, Owner> mOwners = new HashMap<>();
 
@@ -27,26 +27,26 @@
         }
     }
 
-    /** The link of the owner with the highest fence seen, and when it was heard. */
-    private record Owner(long link, long fence, long heardAt) {}
+    /** The link and fence of a step's newest owner, and when the owner was last active. */
+    private record Owner(long link, long fence, long lastActiveAt) {}
 
-    /** Returns whether a fence is below the one that is known for a step. */
+    /** Returns whether a fence is below the highest one seen for a step. */
     boolean isFenced(StepKey step, long fence) {
         return fence < highestFence(step);
     }
 
-    /** Returns the highest fence seen of a step; zero if none. */
+    /** Returns the highest fence seen for a step; zero if none. */
     long highestFence(StepKey step) {
         Owner owner = mOwners.get(step);
         return owner == null ? 0 : owner.fence();
     }
 
-    /** Takes note of an owner that is not fenced. */
+    /** Sets the owner of a step. The caller has checked that the owner is not fenced. */
     void setOwner(StepKey step, long link, long fence, long now) {
         mOwners.put(step, new Owner(link, fence, now));
     }
 
-    /** Takes note that the owner of a step is active. */
+    /** Records that the owner of a step is active. */
     void touch(StepKey step, long now) {
         mOwners.computeIfPresent(
                 step, (ignored, owner) -> new Owner(owner.link(), owner.fence(), now));
@@ -56,18 +56,18 @@
         mOwners.remove(step);
     }
 
-    /** Returns the link of a step's owner, or the fallback if none is known. */
+    /** Returns the link of a step's owner, or the fallback if the owner is unknown. */
     long ownerLink(StepKey step, long fallback) {
         Owner owner = mOwners.get(step);
         return owner == null ? fallback : owner.link();
     }
 
-    /** Removes and returns the steps whose owners have been silent for half an hour. */
+    /** Removes and returns the steps whose owners have been inactive for half an hour. */
     List<StepKey> removeOrphans(long now) {
         List<StepKey> orphans = new ArrayList<>();
         mOwners.forEach(
                 (step, owner) -> {
-                    if (now - owner.heardAt() >= ORPHAN_NANOS) {
+                    if (now - owner.lastActiveAt() >= ORPHAN_TIMEOUT_NANOS) {
                         orphans.add(step);
                     }
                 });
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/TokenCounterAdmission.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/TokenCounterAdmission.java
@@ -1,12 +1,12 @@
 package org.ebonyrun.core.attempt;
 
 /**
- * Shares an endpoint by counters of generated tokens: while calls are present, samples may start
- * only if they have had fewer tokens than the calls. A counter that was idle is lifted to the
- * other, so that idle time is not saved up. A baseline after token-counter fairness (see
- * docs/DESIGN.md).
+ * Shares an endpoint by counters of generated tokens: while calls are present, samples are admitted
+ * only if they have not generated more tokens than the calls. While there are no calls, their
+ * counter is raised to that of the samples, so that calls do not accumulate credit for idle time. A
+ * baseline after token-counter fairness (see docs/DESIGN.md).
  *
- * <p>Not thread safe; confined to the attempt duty.
+ * <p>Not thread safe; confined to the attempt event loop.
  */
 final class TokenCounterAdmission implements SampleAdmission {
     private long mCallTokens;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/WeightVersions.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/WeightVersions.java
@@ -6,25 +6,25 @@
 import java.util.List;
 
 /**
- * The weight versions that produced an answer, ascending and without repeats.
+ * The weight versions that produced a response, in ascending order without duplicates.
  *
  * <p>Immutable and thread safe.
  *
- * @param values the versions; empty when no token was produced or the endpoint has no weights
+ * @param values the versions; empty if no token was generated or the endpoint has no weights
  */
 public record WeightVersions(@JsonValue List<Long> values) {
-    /** Sorts and copies the versions. */
+    /** Copies the versions, sorted and without duplicates. */
     public WeightVersions {
         values = values.stream().sorted().distinct().toList();
     }
 
-    /** Returns the versions in {@code values}. */
+    /** Returns a copy of the versions in {@code values}. */
     @JsonCreator
     public static WeightVersions copyOf(Collection<Long> values) {
         return new WeightVersions(List.copyOf(values));
     }
 
-    /** Returns the absence of any version. */
+    /** Returns an empty set of versions. */
     public static WeightVersions none() {
         return new WeightVersions(List.of());
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/WorkKind.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/WorkKind.java
@@ -1,9 +1,9 @@
 package org.ebonyrun.core.attempt;
 
-/** Whose work an attempt is. */
+/** The kind of work that an attempt runs. */
 public enum WorkKind {
-    /** A request of a caller who waits for the answer. */
+    /** A request of a caller that waits for the response. */
     CALL,
-    /** A sample of a trainer's step. */
+    /** A sample for a slot of a trainer's step. */
     SAMPLE
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/package-info.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/package-info.java
@@ -1,4 +1,4 @@
-/** Attempts at an endpoint: queueing, admission, execution and finished samples. */
+/** The agent's handling of attempts: queueing, admission, execution and finished samples. */
 @NullMarked
 package org.ebonyrun.core.attempt;
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Answer.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Answer.java
@@ -4,14 +4,14 @@
 import org.ebonyrun.core.attempt.WeightVersions;
 
 /**
- * The whole answer to a call.
+ * The complete response to a call.
  *
- * @param status the endpoint's HTTP status
+ * @param status the HTTP status of the endpoint
  * @param contentType the content type of the body
- * @param body the body; empty if its pieces were passed on one by one
+ * @param body the body; empty if its pieces were streamed to the caller
  * @param tokens the number of generated tokens
- * @param versions the weight versions that produced the answer
- * @param vm the endpoint that gave it
+ * @param versions the weight versions that produced the response
+ * @param vm the VM of the endpoint that responded
  */
 public record Answer(
         int status,
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatcher.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatcher.java
@@ -24,33 +24,34 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sends work to endpoints and decides what follows from each answer.
+ * Places work on endpoints, retries it, and tracks its attempts.
  *
- * <p>Invariants: work has at most one open attempt; non-idempotent work is never sent again once an
- * attempt may have run; a call ends in exactly one of {@code answered} and {@code failed}; an
- * answer is whole, its pieces counted against the end mark; messages of closed or foreign attempts
- * are counted and dropped.
+ * <p>Invariants: work has at most one open attempt; a non-idempotent call is never sent again once
+ * an attempt may have run; a call that is not cancelled ends in exactly one of {@link
+ * DispatchOutputs#onAnswer} and {@link DispatchOutputs#onFault}; a response is delivered only if
+ * the number of received pieces matches that of its end marker; messages of closed or unknown
+ * attempts are counted and dropped.
  *
- * <p>Not thread safe; confined to the dispatch duty.
+ * <p>Not thread safe; confined to the dispatch event loop.
  */
 public final class Dispatcher implements Ticking {
     private static final double RETRIES_PER_ATTEMPT = 0.1;
     private static final double MAX_SAVED_RETRIES = 20;
-    private static final long RETRY_MILLIS = 100;
+    private static final long RETRY_AFTER_MILLIS = 100;
     private static final int MAX_SAMPLE_FAILURES = 4;
-    private static final int MAX_ANSWER_BYTES = 16 << 20;
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
 
     private final long mIncarnation;
     private final EndpointChooser mChooser;
     private final DispatchOutputs mOutputs;
     private final Map<VmId, EndpointView> mEndpoints = new TreeMap<>();
-    private final Map<AttemptId, PendingWork> mAttempts = new HashMap<>();
-    private final Map<Long, PendingWork> mWorks = new HashMap<>();
+    private final Map<AttemptId, PendingWork> mOpenAttempts = new HashMap<>();
+    private final Map<Long, PendingWork> mPendingWork = new HashMap<>();
     private final TreeMap<Work, PendingWork> mWaitingSamples =
             new TreeMap<>(Comparator.comparingLong(Work::targetAt).thenComparingLong(Work::id));
-    private final Map<ClassName, RetryBudget> mBudgets = new HashMap<>();
+    private final Map<ClassName, RetryBudget> mRetryBudgets = new HashMap<>();
     private final Map<TrainerId, Long> mMinVersions = new HashMap<>();
-    private long mCounter;
+    private long mAttemptCounter;
     private long mUnknownMessages;
     private long mRetries;
 
@@ -61,79 +62,82 @@
     }
 
     /**
-     * Creates a dispatcher that knows no endpoints.
+     * Creates a dispatcher without endpoints.
      *
-     * @param incarnation a random number that this start of the process drew
+     * @param incarnation a random number chosen at the start of the process
      */
     public static Dispatcher create(
             long incarnation, EndpointChooser chooser, DispatchOutputs outputs) {
         return new Dispatcher(incarnation, chooser, outputs);
     }
 
-    /** Begins a piece of work. */
+    /** Starts work. Samples wait until an endpoint accepts them; calls are placed immediately. */
     public void submit(Work work, long now) {
-        PendingWork dispatched = new PendingWork(work);
-        mWorks.put(work.id(), dispatched);
+        PendingWork pending = new PendingWork(work);
+        mPendingWork.put(work.id(), pending);
         if (work.isSample()) {
-            mWaitingSamples.put(work, dispatched);
-            pumpSamples(now);
+            mWaitingSamples.put(work, pending);
+            placeWaitingSamples(now);
             return;
         }
-        budget(work.className()).onFirstAttempt();
-        place(dispatched, null, now);
+        retryBudget(work.className()).onFirstAttempt();
+        place(pending, null, now);
     }
 
-    /** Forgets a piece of work, whose attempt another owner takes over. */
+    /** Stops tracking work without cancelling its attempt, which another owner takes over. */
     public void detach(long workId) {
-        PendingWork dispatched = mWorks.get(workId);
-        if (dispatched != null) {
-            end(dispatched);
+        PendingWork pending = mPendingWork.get(workId);
+        if (pending != null) {
+            endWork(pending);
         }
     }
 
-    /** Gives a piece of work up without an answer. */
+    /** Cancels work and its open attempt; no output follows. */
     public void cancel(long workId) {
-        PendingWork dispatched = mWorks.get(workId);
-        if (dispatched == null) {
+        PendingWork pending = mPendingWork.get(workId);
+        if (pending == null) {
             return;
         }
-        cancelAttempt(dispatched);
-        end(dispatched);
+        cancelAttempt(pending);
+        endWork(pending);
     }
 
-    /** Sets the oldest version that may produce samples for a trainer. */
+    /** Sets the oldest weight version that may produce samples for a trainer. */
     public void setMinVersion(TrainerId trainer, long version, long now) {
         mMinVersions.put(trainer, version);
-        pumpSamples(now);
+        placeWaitingSamples(now);
     }
 
-    /** Takes note that an endpoint may or may not get new work. */
+    /** Sets whether an endpoint may get new work. */
     public void setEndpointUsable(
             VmId vm, ServiceName service, FailureDomain domain, boolean usable, long now) {
         EndpointView view =
                 mEndpoints.computeIfAbsent(vm, key -> EndpointView.create(vm, service, domain));
         view.setUsable(usable);
-        pumpSamples(now);
+        placeWaitingSamples(now);
     }
 
-    /** Takes note that the link to an endpoint is lost: its open attempts may have run. */
+    /** Handles the loss of the link to an endpoint's agent: its open attempts may have run. */
     public void onLinkLost(VmId vm, long now) {
         mEndpoints.remove(vm);
-        List<PendingWork> lost = new ArrayList<>();
-        for (PendingWork dispatched : mAttempts.values()) {
-            if (vm.equals(dispatched.mVm)) {
-                lost.add(dispatched);
+        List<PendingWork> lostWork = new ArrayList<>();
+        for (PendingWork pending : mOpenAttempts.values()) {
+            if (vm.equals(pending.mVm)) {
+                lostWork.add(pending);
             }
         }
-        for (PendingWork dispatched : lost) {
+        for (PendingWork pending : lostWork) {
             Fault fault =
                     Fault.unknown(
-                            FaultCode.PEER_LOST, "agent.link", vm.value(), "the link was lost");
-            onAttemptFailed(dispatched, fault, now);
+                            FaultCode.PEER_LOST,
+                            "agent.link",
+                            vm.value(),
+                            "the link to the agent was lost");
+            onAttemptFailed(pending, fault, now);
         }
     }
 
-    /** Handles a message of an agent. */
+    /** Handles a message from an agent. */
     public void onMessage(VmId vm, AttemptMessage message, long now) {
         if (message instanceof AttemptMessage.Piece piece) {
             onPiece(vm, piece, now);
@@ -145,9 +149,9 @@
             onRefused(vm, refused, now);
         } else if (message instanceof AttemptMessage.Failed failed) {
             onLoad(vm, failed.load());
-            PendingWork dispatched = open(vm, failed.id());
-            if (dispatched != null) {
-                onAttemptFailed(dispatched, failed.fault(), now);
+            PendingWork pending = findOpenAttempt(vm, failed.id());
+            if (pending != null) {
+                onAttemptFailed(pending, failed.fault(), now);
             }
         } else if (message instanceof AttemptMessage.SampleFinished finished) {
             onLoad(vm, finished.load());
@@ -157,31 +161,31 @@
         } else {
             mUnknownMessages++;
         }
-        pumpSamples(now);
+        placeWaitingSamples(now);
     }
 
-    /** Takes note of a load that came with a heartbeat. */
+    /** Updates the load of an endpoint from a heartbeat. */
     public void onHeartbeat(VmId vm, EndpointLoad load, long now) {
         onLoad(vm, load);
-        pumpSamples(now);
+        placeWaitingSamples(now);
     }
 
     @Override
     public void onTick(long now) {
-        for (PendingWork dispatched : List.copyOf(mWorks.values())) {
-            if (now - dispatched.mWork.deadline() >= 0) {
-                timeOut(dispatched);
+        for (PendingWork pending : List.copyOf(mPendingWork.values())) {
+            if (now - pending.mWork.deadline() >= 0) {
+                timeOut(pending);
             }
         }
-        pumpSamples(now);
+        placeWaitingSamples(now);
     }
 
-    /** Returns the endpoints that the entry knows. */
+    /** Returns the known endpoints. */
     public List<EndpointView> endpoints() {
         return List.copyOf(mEndpoints.values());
     }
 
-    /** Returns the state for a dump. */
+    /** Returns a snapshot of the state for the admin dump. */
     public Dump dump() {
         List<EndpointDump> endpoints = new ArrayList<>();
         for (EndpointView view : mEndpoints.values()) {
@@ -194,8 +198,8 @@
                             view.load()));
         }
         return new Dump(
-                mWorks.size(),
-                mAttempts.size(),
+                mPendingWork.size(),
+                mOpenAttempts.size(),
                 mWaitingSamples.size(),
                 mRetries,
                 mUnknownMessages,
@@ -203,13 +207,13 @@
     }
 
     /**
-     * The state of the dispatcher for people.
+     * A snapshot of the state for operators.
      *
-     * @param works open pieces of work
-     * @param attempts open attempts
-     * @param waitingSamples samples that wait for room
-     * @param retries attempts that were not first attempts
-     * @param unknownMessages messages that were dropped
+     * @param works the number of unfinished calls and samples
+     * @param attempts the number of open attempts
+     * @param waitingSamples the number of samples that wait for an endpoint
+     * @param retries the number of calls sent again after an attempt that may have run
+     * @param unknownMessages the number of dropped messages
      * @param endpoints the endpoints
      */
     public record Dump(
@@ -221,13 +225,13 @@
             List<EndpointDump> endpoints) {}
 
     /**
-     * The state of one endpoint for people.
+     * A snapshot of one endpoint for operators.
      *
-     * @param vm the endpoint
+     * @param vm the VM of the endpoint
      * @param service its service
      * @param usable whether it may get new work
-     * @param free how many calls would start at once
-     * @param load its newest report
+     * @param free the number of calls that would start immediately
+     * @param load its last reported load
      */
     public record EndpointDump(
             VmId vm, ServiceName service, boolean usable, int free, EndpointLoad load) {}
@@ -240,167 +244,176 @@
     }
 
     private void onPiece(VmId vm, AttemptMessage.Piece piece, long now) {
-        PendingWork dispatched = open(vm, piece.id());
-        if (dispatched == null) {
+        PendingWork pending = findOpenAttempt(vm, piece.id());
+        if (pending == null) {
             return;
         }
-        boolean tooLarge = dispatched.mBody.size() + piece.data().length > MAX_ANSWER_BYTES;
-        if (piece.index() != dispatched.mPieces || tooLarge) {
-            cancelAttempt(dispatched);
-            String detail = "piece " + piece.index() + " after " + dispatched.mPieces;
-            onAttemptFailed(dispatched, truncated(vm, detail), now);
+        boolean tooLarge = pending.mBody.size() + piece.data().length > MAX_RESPONSE_BYTES;
+        if (piece.index() != pending.mPieces || tooLarge) {
+            cancelAttempt(pending);
+            String detail =
+                    "piece "
+                            + piece.index()
+                            + " is out of order or exceeds the size limit; pieces received: "
+                            + pending.mPieces;
+            onAttemptFailed(pending, truncatedFault(vm, detail), now);
             return;
         }
-        dispatched.mPieces++;
-        if (dispatched.mWork.streaming()) {
-            dispatched.mPieceForwarded = true;
-            mOutputs.onPiece(dispatched.mWork, piece.data());
+        pending.mPieces++;
+        if (pending.mWork.streaming()) {
+            pending.mPieceForwarded = true;
+            mOutputs.onPiece(pending.mWork, piece.data());
         } else {
-            dispatched.mBody.writeBytes(piece.data());
+            pending.mBody.writeBytes(piece.data());
         }
     }
 
     private void onDone(VmId vm, AttemptMessage.Done done, long now) {
-        PendingWork dispatched = open(vm, done.id());
-        if (dispatched == null) {
+        PendingWork pending = findOpenAttempt(vm, done.id());
+        if (pending == null) {
             return;
         }
-        if (done.pieces() != dispatched.mPieces) {
-            String detail = dispatched.mPieces + " pieces of " + done.pieces();
-            onAttemptFailed(dispatched, truncated(vm, detail), now);
+        if (done.pieces() != pending.mPieces) {
+            String detail = pending.mPieces + " pieces received, expected " + done.pieces();
+            onAttemptFailed(pending, truncatedFault(vm, detail), now);
             return;
         }
         Answer answer =
                 new Answer(
                         done.status(),
                         done.contentType(),
-                        dispatched.mBody.toByteArray(),
+                        pending.mBody.toByteArray(),
                         done.tokens(),
                         done.versions(),
                         vm);
-        measure(dispatched, done.tokens(), now);
-        end(dispatched);
-        mOutputs.onAnswer(dispatched.mWork, answer);
+        recordLatency(pending, done.tokens(), now);
+        endWork(pending);
+        mOutputs.onAnswer(pending.mWork, answer);
     }
 
     private void onRefused(VmId vm, AttemptMessage.Refused refused, long now) {
-        PendingWork dispatched = open(vm, refused.id());
-        if (dispatched == null) {
+        PendingWork pending = findOpenAttempt(vm, refused.id());
+        if (pending == null) {
             return;
         }
-        closeAttempt(dispatched);
-        dispatched.mExcludedVms.add(vm);
-        if (dispatched.mWork.isSample()) {
-            mWaitingSamples.put(dispatched.mWork, dispatched);
+        closeAttempt(pending);
+        pending.mExcludedVms.add(vm);
+        if (pending.mWork.isSample()) {
+            mWaitingSamples.put(pending.mWork, pending);
             return;
         }
-        place(dispatched, refused.fault(), now);
+        place(pending, refused.fault(), now);
     }
 
     private void onSampleFinished(VmId vm, AttemptMessage.SampleFinished finished, long now) {
-        PendingWork dispatched = open(vm, finished.id());
-        if (dispatched == null) {
+        PendingWork pending = findOpenAttempt(vm, finished.id());
+        if (pending == null) {
             mOutputs.onUntrackedSampleFinished(vm, finished.key(), finished.info());
             return;
         }
-        measure(dispatched, finished.info().tokens(), now);
-        end(dispatched);
-        mOutputs.onSampleFinished(dispatched.mWork, vm, finished.info());
+        recordLatency(pending, finished.info().tokens(), now);
+        endWork(pending);
+        mOutputs.onSampleFinished(pending.mWork, vm, finished.info());
     }
 
-    /** Decides whether work whose attempt failed, and may have run, is tried again. */
-    private void onAttemptFailed(PendingWork dispatched, Fault fault, long now) {
-        Work work = dispatched.mWork;
-        VmId vm = dispatched.mVm;
-        closeAttempt(dispatched);
-        dispatched.mMayHaveRun = true;
+    /**
+     * Handles a failed attempt that may have run. A sample waits for another attempt until {@value
+     * #MAX_SAMPLE_FAILURES} have failed. A call is retried if it is idempotent, no piece of the
+     * response has been forwarded and the retry budget of its class allows it.
+     */
+    private void onAttemptFailed(PendingWork pending, Fault fault, long now) {
+        Work work = pending.mWork;
+        VmId vm = pending.mVm;
+        closeAttempt(pending);
+        pending.mMayHaveRun = true;
         if (work.isSample()) {
-            dispatched.mFailures++;
-            if (dispatched.mFailures >= MAX_SAMPLE_FAILURES) {
-                fail(dispatched, fault);
+            pending.mFailures++;
+            if (pending.mFailures >= MAX_SAMPLE_FAILURES) {
+                fail(pending, fault);
             } else {
-                mWaitingSamples.put(work, dispatched);
+                mWaitingSamples.put(work, pending);
             }
             return;
         }
-        boolean repeatable = work.idempotent() && !dispatched.mPieceForwarded;
-        if (!repeatable || !budget(work.className()).tryAcquire()) {
-            fail(dispatched, fault);
+        boolean repeatable = work.idempotent() && !pending.mPieceForwarded;
+        if (!repeatable || !retryBudget(work.className()).tryAcquire()) {
+            fail(pending, fault);
             return;
         }
         mRetries++;
         mOutputs.onRetry(work);
         if (vm != null) {
-            dispatched.mExcludedVms.add(vm);
+            pending.mExcludedVms.add(vm);
         }
-        place(dispatched, fault, now);
+        place(pending, fault, now);
     }
 
-    private void measure(PendingWork dispatched, int tokens, long now) {
-        EndpointView view = dispatched.mVm == null ? null : mEndpoints.get(dispatched.mVm);
+    private void recordLatency(PendingWork pending, int tokens, long now) {
+        EndpointView view = pending.mVm == null ? null : mEndpoints.get(pending.mVm);
         if (view != null) {
-            view.recordLatency(tokens, now - dispatched.mOfferedAt, now);
+            view.recordLatency(tokens, now - pending.mOfferedAt, now);
         }
     }
 
-    private void place(PendingWork dispatched, @Nullable Fault last, long now) {
-        Work work = dispatched.mWork;
+    private void place(PendingWork pending, @Nullable Fault lastFault, long now) {
+        Work work = pending.mWork;
         while (true) {
-            List<EndpointView> candidates = candidates(dispatched, 0, now);
+            List<EndpointView> candidates = findCandidates(pending, 0, now);
             EndpointView view = mChooser.choose(work, candidates, now).orElse(null);
             if (view == null) {
-                fail(dispatched, last != null ? last : noEndpoint(work));
+                fail(pending, lastFault != null ? lastFault : noEndpointFault(work));
                 return;
             }
-            if (offer(dispatched, view, 0, now)) {
+            if (tryOffer(pending, view, 0, now)) {
                 return;
             }
-            dispatched.mExcludedVms.add(view.vm());
+            pending.mExcludedVms.add(view.vm());
         }
     }
 
-    private void pumpSamples(long now) {
+    private void placeWaitingSamples(long now) {
         if (mWaitingSamples.isEmpty()) {
             return;
         }
-        Map<ServiceName, Boolean> full = new HashMap<>();
-        for (PendingWork dispatched : List.copyOf(mWaitingSamples.values())) {
-            Work work = dispatched.mWork;
-            if (full.containsKey(work.service())) {
+        Map<ServiceName, Boolean> fullServices = new HashMap<>();
+        for (PendingWork pending : List.copyOf(mWaitingSamples.values())) {
+            Work work = pending.mWork;
+            if (fullServices.containsKey(work.service())) {
                 continue;
             }
             long minVersion = minVersion(work);
-            List<EndpointView> candidates = candidates(dispatched, minVersion, now);
+            List<EndpointView> candidates = findCandidates(pending, minVersion, now);
             EndpointView view = mChooser.choose(work, candidates, now).orElse(null);
             if (view == null) {
-                dispatched.mExcludedVms.clear();
-                full.put(work.service(), Boolean.TRUE);
-            } else if (offer(dispatched, view, minVersion, now)) {
+                pending.mExcludedVms.clear();
+                fullServices.put(work.service(), Boolean.TRUE);
+            } else if (tryOffer(pending, view, minVersion, now)) {
                 mWaitingSamples.remove(work);
             }
         }
     }
 
-    private List<EndpointView> candidates(PendingWork dispatched, long minVersion, long now) {
-        Work work = dispatched.mWork;
+    private List<EndpointView> findCandidates(PendingWork pending, long minVersion, long now) {
+        Work work = pending.mWork;
         List<EndpointView> candidates = new ArrayList<>();
         for (EndpointView view : mEndpoints.values()) {
-            boolean fits =
+            boolean eligible =
                     view.isUsable()
                             && view.service().equals(work.service())
-                            && !dispatched.mExcludedVms.contains(view.vm());
-            boolean fresh = view.load().version() >= minVersion;
-            boolean room = !work.isSample() || view.sampleRoom(now - work.targetAt() >= 0) > 0;
-            if (fits && fresh && room) {
+                            && !pending.mExcludedVms.contains(view.vm());
+            boolean freshEnough = view.load().version() >= minVersion;
+            boolean hasCapacity =
+                    !work.isSample() || view.sampleRoom(now - work.targetAt() >= 0) > 0;
+            if (eligible && freshEnough && hasCapacity) {
                 candidates.add(view);
             }
         }
         return candidates;
     }
 
-    private boolean offer(PendingWork dispatched, EndpointView view, long minVersion, long now) {
-        Work work = dispatched.mWork;
-        AttemptId id = new AttemptId(mIncarnation, mCounter++);
+    private boolean tryOffer(PendingWork pending, EndpointView view, long minVersion, long now) {
+        Work work = pending.mWork;
+        AttemptId id = new AttemptId(mIncarnation, mAttemptCounter++);
         Job job =
                 new Job(
                         work.kind(),
@@ -418,11 +431,11 @@
         if (!mOutputs.send(view.vm(), new AttemptMessage.Offer(id, job))) {
             return false;
         }
-        dispatched.resetAttempt();
-        dispatched.mAttemptId = id;
-        dispatched.mVm = view.vm();
-        dispatched.mOfferedAt = now;
-        mAttempts.put(id, dispatched);
+        pending.resetAttempt();
+        pending.mAttemptId = id;
+        pending.mVm = view.vm();
+        pending.mOfferedAt = now;
+        mOpenAttempts.put(id, pending);
         view.onSent(work.isSample());
         return true;
     }
@@ -432,67 +445,67 @@
         return sample == null ? 0 : mMinVersions.getOrDefault(sample.trainer(), 0L);
     }
 
-    private @Nullable PendingWork open(VmId vm, AttemptId id) {
-        PendingWork dispatched = mAttempts.get(id);
-        if (dispatched == null || !vm.equals(dispatched.mVm)) {
+    private @Nullable PendingWork findOpenAttempt(VmId vm, AttemptId id) {
+        PendingWork pending = mOpenAttempts.get(id);
+        if (pending == null || !vm.equals(pending.mVm)) {
             mUnknownMessages++;
             return null;
         }
-        return dispatched;
+        return pending;
     }
 
-    private void timeOut(PendingWork dispatched) {
-        boolean mayHaveRun = dispatched.mMayHaveRun || dispatched.mAttemptId != null;
-        cancelAttempt(dispatched);
-        String detail = "the work was not done in time";
+    private void timeOut(PendingWork pending) {
+        boolean mayHaveRun = pending.mMayHaveRun || pending.mAttemptId != null;
+        cancelAttempt(pending);
+        String detail = "the work did not finish before its deadline";
         fail(
-                dispatched,
+                pending,
                 mayHaveRun
                         ? Fault.unknown(FaultCode.DEADLINE, "entry.wait", "", detail)
                         : Fault.notRun(FaultCode.DEADLINE, "entry.wait", "", detail));
     }
 
-    private void fail(PendingWork dispatched, Fault fault) {
-        end(dispatched);
-        boolean claimsNotRun = fault.isNotRun() && dispatched.mMayHaveRun;
+    private void fail(PendingWork pending, Fault fault) {
+        endWork(pending);
+        boolean outcomeUnknown = fault.isNotRun() && pending.mMayHaveRun;
         mOutputs.onFault(
-                dispatched.mWork, claimsNotRun ? fault.withOutcome(Outcome.UNKNOWN) : fault);
+                pending.mWork, outcomeUnknown ? fault.withOutcome(Outcome.UNKNOWN) : fault);
     }
 
-    private void cancelAttempt(PendingWork dispatched) {
-        if (dispatched.mAttemptId != null && dispatched.mVm != null) {
-            mOutputs.send(dispatched.mVm, new AttemptMessage.CancelAttempt(dispatched.mAttemptId));
+    private void cancelAttempt(PendingWork pending) {
+        if (pending.mAttemptId != null && pending.mVm != null) {
+            mOutputs.send(pending.mVm, new AttemptMessage.CancelAttempt(pending.mAttemptId));
         }
     }
 
-    private void closeAttempt(PendingWork dispatched) {
-        if (dispatched.mAttemptId != null) {
-            mAttempts.remove(dispatched.mAttemptId);
+    private void closeAttempt(PendingWork pending) {
+        if (pending.mAttemptId != null) {
+            mOpenAttempts.remove(pending.mAttemptId);
         }
-        dispatched.resetAttempt();
+        pending.resetAttempt();
     }
 
-    private void end(PendingWork dispatched) {
-        closeAttempt(dispatched);
-        mWaitingSamples.remove(dispatched.mWork);
-        mWorks.remove(dispatched.mWork.id());
+    private void endWork(PendingWork pending) {
+        closeAttempt(pending);
+        mWaitingSamples.remove(pending.mWork);
+        mPendingWork.remove(pending.mWork.id());
     }
 
-    private RetryBudget budget(ClassName name) {
-        return mBudgets.computeIfAbsent(
+    private RetryBudget retryBudget(ClassName name) {
+        return mRetryBudgets.computeIfAbsent(
                 name, key -> RetryBudget.create(RETRIES_PER_ATTEMPT, MAX_SAVED_RETRIES));
     }
 
-    private static Fault truncated(VmId vm, String detail) {
+    private static Fault truncatedFault(VmId vm, String detail) {
         return Fault.unknown(FaultCode.TRUNCATED, "agent.answer", vm.value(), detail);
     }
 
-    private static Fault noEndpoint(Work work) {
+    private static Fault noEndpointFault(Work work) {
         return Fault.notRun(
                         FaultCode.NO_ENDPOINT,
                         "entry.route",
                         "",
-                        "no endpoint of " + work.service() + " takes new work")
-                .withRetryAfterMillis(RETRY_MILLIS);
+                        "no endpoint of " + work.service() + " accepts new work")
+                .withRetryAfterMillis(RETRY_AFTER_MILLIS);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/EndpointView.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/EndpointView.java
@@ -7,22 +7,22 @@
 import org.ebonyrun.core.attempt.EndpointLoad;
 
 /**
- * What an entry knows of one endpoint. Load is as old as the last message; what was sent since is
- * added to it.
+ * An entry's view of one endpoint: its last reported load, plus the work that the entry has sent to
+ * it since that report.
  *
- * <p>Not thread safe; confined to the dispatch duty.
+ * <p>Not thread safe; confined to the dispatch event loop.
  */
 public final class EndpointView {
-    private static final long MEASURE_NANOS = Nanos.ofMillis(10_000);
-    private static final double NEW_SHARE = 0.1;
+    private static final long MEASUREMENT_EXPIRY_NANOS = Nanos.ofMillis(10_000);
+    private static final double SMOOTHING_FACTOR = 0.1;
 
     private final VmId mVm;
     private final ServiceName mService;
     private final FailureDomain mDomain;
     private EndpointLoad mLoad = EndpointLoad.unknown();
     private boolean mUsable;
-    private int mCallsSince;
-    private int mSamplesSince;
+    private int mCallsSinceLoad;
+    private int mSamplesSinceLoad;
     private double mMillisPerToken;
     private long mMeasuredAt;
 
@@ -32,27 +32,27 @@
         mDomain = domain;
     }
 
-    /** Creates the view of an endpoint that has reported nothing. */
+    /** Creates the view of an endpoint that has not reported its load. */
     public static EndpointView create(VmId vm, ServiceName service, FailureDomain domain) {
         return new EndpointView(vm, service, domain);
     }
 
-    /** Returns the endpoint's VM. */
+    /** Returns the VM of the endpoint. */
     public VmId vm() {
         return mVm;
     }
 
-    /** Returns the endpoint's service. */
+    /** Returns the service that the endpoint runs. */
     public ServiceName service() {
         return mService;
     }
 
-    /** Returns where the endpoint runs. */
+    /** Returns the failure domain of the endpoint. */
     public FailureDomain failureDomain() {
         return mDomain;
     }
 
-    /** Returns the newest report. */
+    /** Returns the last reported load. */
     public EndpointLoad load() {
         return mLoad;
     }
@@ -62,43 +62,45 @@
         return mUsable && !mLoad.leaving() && mLoad.slots() > 0;
     }
 
-    /** Returns how many calls would start at once, by what is known here. */
+    /** Returns the estimated number of calls that would start immediately; may be negative. */
     public int freeSlots() {
-        return mLoad.freeSlots() - mCallsSince - mSamplesSince;
+        return mLoad.freeSlots() - mCallsSinceLoad - mSamplesSinceLoad;
     }
 
-    /** Returns how many samples would be taken, by what is known here. */
+    /** Returns the estimated number of samples that would be accepted; may be negative. */
     public int sampleRoom() {
-        return mLoad.sampleRoom() - mCallsSince - mSamplesSince;
+        return mLoad.sampleRoom() - mCallsSinceLoad - mSamplesSinceLoad;
     }
 
     /**
-     * Returns how many samples would be taken, by what is known here.
+     * Returns the estimated number of samples that would be accepted; may be negative.
      *
      * @param urgent whether the target of the samples has passed
      */
     public int sampleRoom(boolean urgent) {
-        int urgentRoom = mLoad.urgentRoom() - mSamplesSince;
+        int urgentRoom = mLoad.urgentRoom() - mSamplesSinceLoad;
         return urgent ? Math.max(sampleRoom(), urgentRoom) : sampleRoom();
     }
 
     /**
-     * Returns the recent time for a generated token in milliseconds, waiting and prompt included;
-     * zero while nothing recent is known.
+     * Returns the moving average of the time per generated token in milliseconds, including waiting
+     * and prompt processing; zero if there is no recent measurement.
      */
     public double millisPerToken(long now) {
-        return now - mMeasuredAt < MEASURE_NANOS ? mMillisPerToken : 0;
+        return now - mMeasuredAt < MEASUREMENT_EXPIRY_NANOS ? mMillisPerToken : 0;
     }
 
-    /** Takes note of an attempt that ended with {@code tokens} tokens after {@code nanos}. */
+    /** Records an attempt that generated {@code tokens} tokens in {@code nanos} nanoseconds. */
     void recordLatency(int tokens, long nanos, long now) {
         if (tokens <= 0) {
             return;
         }
         double measured = (double) nanos / Nanos.PER_MILLI / tokens;
-        boolean known = millisPerToken(now) > 0;
+        boolean hasAverage = millisPerToken(now) > 0;
         mMillisPerToken =
-                known ? mMillisPerToken * (1 - NEW_SHARE) + measured * NEW_SHARE : measured;
+                hasAverage
+                        ? mMillisPerToken * (1 - SMOOTHING_FACTOR) + measured * SMOOTHING_FACTOR
+                        : measured;
         mMeasuredAt = now;
     }
 
@@ -108,15 +110,15 @@
 
     void onLoad(EndpointLoad load) {
         mLoad = load;
-        mCallsSince = 0;
-        mSamplesSince = 0;
+        mCallsSinceLoad = 0;
+        mSamplesSinceLoad = 0;
     }
 
     void onSent(boolean sample) {
         if (sample) {
-            mSamplesSince++;
+            mSamplesSinceLoad++;
         } else {
-            mCallsSince++;
+            mCallsSinceLoad++;
         }
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/LeastLoadChooser.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/LeastLoadChooser.java
@@ -8,15 +8,16 @@
 import org.ebonyrun.base.id.FailureDomain;
 
 /**
- * Chooses the endpoint with the most room, which is where the work starts soonest; calls avoid an
- * endpoint that lately took more than twice as long for a token as the fastest, while another has
- * room. Among endpoints with equal room, a call goes to the entry's own failure domain, and a
- * sample to the one that rendezvous hashing gives to its prompt prefix.
+ * Chooses the endpoint with the most free capacity, where the work starts soonest. Calls avoid an
+ * endpoint that recently took more than twice as long per token as the fastest one, while another
+ * endpoint has a free slot. Among endpoints with equal capacity, a call prefers the entry's own
+ * failure domain, and a sample goes to the endpoint that rendezvous hashing selects for its prompt
+ * prefix.
  *
  * <p>Immutable and thread safe.
  */
 public final class LeastLoadChooser implements EndpointChooser {
-    private static final double SLOWNESS = 2;
+    private static final double SLOWNESS_FACTOR = 2;
 
     private final FailureDomain mDomain;
     private final int mSlack;
@@ -32,8 +33,9 @@
     }
 
     /**
-     * Creates a chooser whose samples give up at most {@code slack} slots of room to go where those
-     * of the same prompt prefix go.
+     * Creates a chooser that prefers affinity to load within a limit: a sample may go to an
+     * endpoint with up to {@code slack} fewer free slots than the least loaded one if samples with
+     * the same prompt prefix go there.
      */
     public static LeastLoadChooser withSlack(FailureDomain domain, int slack) {
         return new LeastLoadChooser(domain, slack);
@@ -50,26 +52,27 @@
                         .filter(millis -> millis > 0)
                         .min()
                         .orElse(0);
-        Comparator<EndpointView> bySpeed =
+        Comparator<EndpointView> byFreeAndFast =
                 Comparator.comparing(
                         view ->
                                 view.freeSlots() > 0
-                                        && view.millisPerToken(now) <= fastest * SLOWNESS);
+                                        && view.millisPerToken(now) <= fastest * SLOWNESS_FACTOR);
         return candidates.stream()
                 .max(
-                        bySpeed.thenComparingInt(EndpointView::freeSlots)
+                        byFreeAndFast
+                                .thenComparingInt(EndpointView::freeSlots)
                                 .thenComparing(view -> view.failureDomain().equals(mDomain))
                                 .thenComparing(EndpointView::vm));
     }
 
     private Optional<EndpointView> chooseForSample(Work work, List<EndpointView> candidates) {
-        int most = candidates.stream().mapToInt(EndpointView::sampleRoom).max().orElse(0);
+        int maxSampleRoom = candidates.stream().mapToInt(EndpointView::sampleRoom).max().orElse(0);
         return candidates.stream()
-                .filter(view -> view.sampleRoom() >= most - mSlack)
-                .max(Comparator.comparingLong(view -> affinity(work, view)));
+                .filter(view -> view.sampleRoom() >= maxSampleRoom - mSlack)
+                .max(Comparator.comparingLong(view -> affinityScore(work, view)));
     }
 
-    private static long affinity(Work work, EndpointView view) {
+    private static long affinityScore(Work work, EndpointView view) {
         return Hashing.murmur3_128()
                 .newHasher()
                 .putLong(work.affinity())
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/PendingWork.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/PendingWork.java
@@ -7,7 +7,7 @@
 import org.ebonyrun.base.id.VmId;
 import org.jspecify.annotations.Nullable;
 
-/** Work in progress at an entry. Not thread safe; confined to the dispatch duty. */
+/** Unfinished work at an entry. Not thread safe; confined to the dispatch event loop. */
 final class PendingWork {
     final Work mWork;
     final Set<VmId> mExcludedVms = new HashSet<>();
@@ -24,7 +24,7 @@
         mWork = work;
     }
 
-    /** Forgets what the last attempt brought. */
+    /** Clears the state of the last attempt. */
     void resetAttempt() {
         mAttemptId = null;
         mVm = null;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/RetryBudget.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/RetryBudget.java
@@ -3,40 +3,41 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Limits the retries of a class to a share of its first attempts, so that retries can't feed an
- * overload.
+ * Token bucket that limits the retries of a class to a share of its first attempts, so that retries
+ * can't amplify an overload.
  *
- * <p>Not thread safe; confined to the dispatch duty.
+ * <p>Not thread safe; confined to the dispatch event loop.
  */
 public final class RetryBudget {
-    private final double mPerAttempt;
-    private final double mMax;
+    private final double mTokensPerAttempt;
+    private final double mMaxTokens;
     private double mTokens;
 
-    private RetryBudget(double perAttempt, double max) {
-        checkArgument(perAttempt >= 0, "share is negative: %s", perAttempt);
-        checkArgument(max >= 1, "burst is below one: %s", max);
-        mPerAttempt = perAttempt;
-        mMax = max;
-        mTokens = max;
+    private RetryBudget(double tokensPerAttempt, double maxTokens) {
+        checkArgument(
+                tokensPerAttempt >= 0, "retries per attempt are negative: %s", tokensPerAttempt);
+        checkArgument(maxTokens >= 1, "capacity is below one: %s", maxTokens);
+        mTokensPerAttempt = tokensPerAttempt;
+        mMaxTokens = maxTokens;
+        mTokens = maxTokens;
     }
 
     /**
      * Creates a full budget.
      *
-     * @param perAttempt retries earned by each first attempt
-     * @param max the greatest number of retries that can be saved up
+     * @param tokensPerAttempt the number of retries that each first attempt adds to the budget
+     * @param maxTokens the capacity of the budget, in retries
      */
-    public static RetryBudget create(double perAttempt, double max) {
-        return new RetryBudget(perAttempt, max);
+    public static RetryBudget create(double tokensPerAttempt, double maxTokens) {
+        return new RetryBudget(tokensPerAttempt, maxTokens);
     }
 
-    /** Takes note of a first attempt. */
+    /** Adds the share of a first attempt to the budget. */
     public void onFirstAttempt() {
-        mTokens = Math.min(mMax, mTokens + mPerAttempt);
+        mTokens = Math.min(mMaxTokens, mTokens + mTokensPerAttempt);
     }
 
-    /** Takes one retry from the budget; returns false if there is none. */
+    /** Takes one retry from the budget. Returns false if less than one is left. */
     public boolean tryAcquire() {
         if (mTokens < 1) {
             return false;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/RoundRobinChooser.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/RoundRobinChooser.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * Takes the endpoints in turn, whatever their load; a baseline for comparison.
+ * Chooses the endpoints in turn, regardless of their load. A baseline for comparison.
  *
- * <p>Not thread safe; confined to the dispatch duty.
+ * <p>Not thread safe; confined to the dispatch event loop.
  */
 public final class RoundRobinChooser implements EndpointChooser {
     private long mNext;
 
-    /** Creates a chooser that begins with the first endpoint. */
+    /** Creates a chooser that starts with the first endpoint. */
     public RoundRobinChooser() {}
 
     @Override
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/TargetMonitor.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/TargetMonitor.java
@@ -15,42 +15,42 @@
 import org.ebonyrun.core.config.OperatorConfig;
 
 /**
- * Compares how calls ended lately with the targets of their classes, and estimates what a class
- * that misses its target lacks.
+ * Compares the recent outcomes of calls with the targets of their classes, and estimates the
+ * missing capacity of a class that misses its target.
  *
- * <p>Looks at the last {@link #WINDOW_NANOS} to twice that.
+ * <p>Covers the last one to two windows of {@link #WINDOW_NANOS}.
  *
- * <p>Not thread safe; confined to the dispatch duty.
+ * <p>Not thread safe; confined to the dispatch event loop.
  */
 public final class TargetMonitor {
-    /** Time after which an end is forgotten at the earliest, in nanoseconds. */
+    /** The minimum time for which the outcome of a call counts, in nanoseconds. */
     public static final long WINDOW_NANOS = Nanos.ofMillis(30_000);
 
-    private final Map<ClassName, Ends> mEnds = new HashMap<>();
-    private final ServiceTimes mTimes = new ServiceTimes();
+    private final Map<ClassName, WindowedCounts> mCountsByClass = new HashMap<>();
+    private final ServiceTimes mServiceTimes = new ServiceTimes();
 
-    /** Creates a monitor that has seen nothing. */
+    /** Creates a monitor without recorded calls. */
     public TargetMonitor() {}
 
-    /** How the calls of a class ended, in two windows. */
-    private static final class Ends {
-        private Counts mOlder = new Counts();
-        private Counts mNewer = new Counts();
-        private long mTurnAt;
+    /** The outcomes of the calls of a class in the current and the previous window. */
+    private static final class WindowedCounts {
+        private OutcomeCounts mOlder = new OutcomeCounts();
+        private OutcomeCounts mNewer = new OutcomeCounts();
+        private long mRotateAt;
 
-        Counts at(long now) {
-            if (now - mTurnAt >= 0) {
-                boolean old = now - mTurnAt >= WINDOW_NANOS;
-                mOlder = old ? new Counts() : mNewer;
-                mNewer = new Counts();
-                mTurnAt = now + WINDOW_NANOS;
+        OutcomeCounts rotateAndGet(long now) {
+            if (now - mRotateAt >= 0) {
+                boolean expired = now - mRotateAt >= WINDOW_NANOS;
+                mOlder = expired ? new OutcomeCounts() : mNewer;
+                mNewer = new OutcomeCounts();
+                mRotateAt = now + WINDOW_NANOS;
             }
             return mNewer;
         }
     }
 
-    /** How calls ended. */
-    private static final class Counts {
+    /** Counts of calls by outcome. */
+    private static final class OutcomeCounts {
         private long mInTime;
         private long mLate;
         private long mRefused;
@@ -58,14 +58,14 @@
     }
 
     /**
-     * How a class fares against its target.
+     * The recent performance of a class compared with its target.
      *
      * @param name the class
-     * @param calls calls that ended lately
-     * @param inTime share of the answered calls that were in time; text with percent
+     * @param calls the number of calls that ended recently
+     * @param inTime the percentage of answered calls that were in time, as text
      * @param target the target, as text
-     * @param refused calls refused as not run
-     * @param shortfall what is missing to meet the target; empty if it is met
+     * @param refused the number of calls that were refused and did not run
+     * @param shortfall what is missing to meet the target, as text; empty if it is met
      */
     public record ClassStatus(
             ClassName name,
@@ -75,20 +75,20 @@
             long refused,
             String shortfall) {}
 
-    /** Takes note of an answered call. */
+    /** Records a call that was answered after {@code tookNanos}. */
     public void onAnswered(Work work, long tookNanos, long now) {
-        Counts counts = counts(work, now);
+        OutcomeCounts counts = currentCounts(work, now);
         if (now - work.targetAt() <= 0) {
             counts.mInTime++;
         } else {
             counts.mLate++;
         }
-        mTimes.add(work.className(), Nanos.toMillis(tookNanos));
+        mServiceTimes.add(work.className(), Nanos.toMillis(tookNanos));
     }
 
-    /** Takes note of a call that got no answer. */
+    /** Records a call that ended with a fault. */
     public void onFault(Work work, Fault fault, long now) {
-        Counts counts = counts(work, now);
+        OutcomeCounts counts = currentCounts(work, now);
         if (fault.isNotRun() && fault.code() != FaultCode.BAD_REQUEST) {
             counts.mRefused++;
         } else {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Returns how each class for calls fares. */
+    /** Returns the status of each class except rollout classes, sorted by name. */
     public List<ClassStatus> status(OperatorConfig config, List<EndpointView> endpoints, long now) {
         List<ClassStatus> rows = new ArrayList<>();
         for (ClassSpec spec : config.classes().values()) {
@@ -109,9 +109,10 @@
     }
 
     private ClassStatus status(ClassSpec spec, List<EndpointView> endpoints, long now) {
-        Ends ends = mEnds.computeIfAbsent(spec.name(), key -> new Ends());
-        Counts newer = ends.at(now);
-        Counts older = ends.mOlder;
+        WindowedCounts windows =
+                mCountsByClass.computeIfAbsent(spec.name(), key -> new WindowedCounts());
+        OutcomeCounts newer = windows.rotateAndGet(now);
+        OutcomeCounts older = windows.mOlder;
         long inTime = newer.mInTime + older.mInTime;
         long answered = inTime + newer.mLate + older.mLate;
         long refused = newer.mRefused + older.mRefused;
@@ -124,34 +125,37 @@
                 answered == 0 ? "-" : percent(share),
                 percent(spec.targetQuantile()) + " within " + spec.targetLatencyMillis() + " ms",
                 refused,
-                met ? "" : shortfall(spec, refused, answered, endpoints));
+                met ? "" : describeShortfall(spec, refused, answered, endpoints));
     }
 
-    /** Estimates by Little's law how many endpoints would take what was refused. */
-    private String shortfall(
+    /** Estimates by Little's law how many more endpoints the refused calls would have needed. */
+    private String describeShortfall(
             ClassSpec spec, long refused, long answered, List<EndpointView> endpoints) {
-        int usable = 0;
+        int usableEndpoints = 0;
         int slots = 0;
         for (EndpointView view : endpoints) {
             if (view.service().equals(spec.service()) && view.isUsable()) {
-                usable++;
+                usableEndpoints++;
                 slots += view.load().slots();
             }
         }
-        if (usable == 0) {
+        if (usableEndpoints == 0) {
             return "no usable endpoint of " + spec.service();
         }
         if (refused == 0 || answered == 0) {
-            return "answers are late; capacity of " + spec.service() + " is short";
+            return "responses are late; the capacity of " + spec.service() + " is insufficient";
         }
-        double perSecond = refused * (double) Nanos.PER_SECOND / WINDOW_NANOS;
-        double busy = perSecond * mTimes.medianMillis(spec.name()) / 1_000;
-        long more = Math.max(1, (long) Math.ceil(busy * usable / Math.max(1, slots)));
-        return more + " more endpoints of " + spec.service();
+        double refusedPerSecond = refused * (double) Nanos.PER_SECOND / WINDOW_NANOS;
+        double neededSlots = refusedPerSecond * mServiceTimes.medianMillis(spec.name()) / 1_000;
+        long missingEndpoints =
+                Math.max(1, (long) Math.ceil(neededSlots * usableEndpoints / Math.max(1, slots)));
+        return missingEndpoints + " more endpoints of " + spec.service();
     }
 
-    private Counts counts(Work work, long now) {
-        return mEnds.computeIfAbsent(work.className(), key -> new Ends()).at(now);
+    private OutcomeCounts currentCounts(Work work, long now) {
+        return mCountsByClass
+                .computeIfAbsent(work.className(), key -> new WindowedCounts())
+                .rotateAndGet(now);
     }
 
     private static String percent(double share) {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Work.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Work.java
@@ -7,24 +7,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One piece of work that an entry must get done.
+ * A call or a sample that an entry has to run at an endpoint.
  *
  * <p>Immutable by convention: the body is not copied and must not be changed.
  *
  * @param id a number that is unique within the process
- * @param kind whose work it is
+ * @param kind the kind of work
  * @param service the service that runs it
  * @param className the class of work
  * @param targetQuantile the share of work of the class that must meet the target; zero for samples
  * @param arrivedAt the monotonic time in nanoseconds at which it arrived
  * @param targetAt the monotonic time in nanoseconds at which the target is missed
- * @param giveUpAt the monotonic time in nanoseconds at which the work is given up
+ * @param deadline the monotonic time in nanoseconds at which the work times out
  * @param idempotent whether it may run more than once
- * @param streaming whether pieces are passed on before the answer is whole
- * @param path the path and query of the endpoint's HTTP interface
+ * @param streaming whether pieces are forwarded before the response is complete
+ * @param path the path and query of the request to the endpoint
  * @param contentType the content type of the body
  * @param body the request body
- * @param affinity a hash that work with the same prompt prefix shares; zero for none
+ * @param affinity a hash of the prompt prefix, equal for work with the same prefix; zero for none
  * @param sample the slot that a sample fills; null for a call
  * @param fence the fence of the step's owner; zero for a call
  */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/package-info.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Choice of an endpoint for each piece of work, retries and refusals. */
+/** The entry's placement of work on endpoints, with retries and monitoring of class targets. */
 @NullMarked
 package org.ebonyrun.core.routing;
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/attempt/AttemptMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/attempt/AttemptMachineTest.java
@@ -54,12 +54,12 @@
                     });
 
     @BeforeEach
-    void endpointIsUp() {
+    void reportEndpointState() {
         mMachine.onEndpointState(3, 1, 0);
     }
 
     @Test
-    void startsTheCallWithTheLeastLaxityFirst() {
+    void startsCallWithLeastLaxityFirst() {
         offerCall(1, 1_000);
         offerCall(2, 5_000);
         offerCall(3, 2_000);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void ignoresARepeatedOffer() {
+    void ignoresDuplicateOffer() {
         offerCall(1, 1_000);
         offerCall(1, 1_000);
         assertThat(mStarted, hasSize(1));
@@ -77,19 +77,19 @@
 
     @ParameterizedTest
     @CsvSource({"true,UNKNOWN,PEER_LOST", "false,NOT_RUN,PEER_LOST"})
-    void tellsNotRunOnlyIfNothingWasSent(boolean sent, Outcome outcome, FaultCode code) {
+    void reportsNotRunOnlyIfNothingWasSent(boolean sent, Outcome outcome, FaultCode code) {
         offerCall(1, 1_000);
         mMachine.onFailure(id(1), sent, code, "gone", 1);
         AttemptMessage last = mSent.get(0);
-        Outcome told =
+        Outcome reported =
                 last instanceof AttemptMessage.Refused refused
                         ? refused.fault().outcome()
                         : ((AttemptMessage.Failed) last).fault().outcome();
-        assertThat(told, is(outcome));
+        assertThat(reported, is(outcome));
     }
 
     @Test
-    void namesEveryVersionOfTheStream() {
+    void reportsEveryVersionOfStream() {
         offerSample(1, 0, 1);
         mMachine.onPiece(id(1), BODY, 1, 3, 1);
         mMachine.onPiece(id(1), BODY, 1, 4, 2);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void holdsASampleUntilItIsReleased() {
+    void holdsSampleUntilReleased() {
         finishSample(1, 0);
         mMachine.onMessage(LINK, new AttemptMessage.FetchSample(key(0)), 4);
         assertThat(lastContent().content(), is(BODY));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void theFirstFinishedSampleOfASlotStays() {
+    void keepsFirstFinishedSampleOfSlot() {
         finishSample(1, 0);
         offerSample(2, 0, 1);
         mMachine.onPiece(id(2), new byte[] {9}, 1, 3, 5);
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void releasesTheSamplesOfAnOwnerThatStaysSilent() {
+    void releasesSamplesOfInactiveOwner() {
         finishSample(1, 0);
         mMachine.onTick(Nanos.ofMillis(1_799_000));
         assertThat(mMachine.dump(0).held(), is(1));
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void refusesSamplesOfAnOldOwner() {
+    void refusesSamplesOfFencedOwner() {
         mMachine.onMessage(LINK, new AttemptMessage.HeldQuery(TRAINER, 1, 8), 0);
         offerSample(1, 0, 7);
         assertThat(lastRefusal().fault().code(), is(FaultCode.FENCED));
@@ -136,13 +136,13 @@
     }
 
     @Test
-    void refusesWorkThatNeedsNewerWeights() {
+    void refusesCallThatRequiresNewerWeights() {
         offer(1, job(WorkKind.CALL, 1_000, 4, null, 0));
         assertThat(lastRefusal().fault().code(), is(FaultCode.STALE_WEIGHTS));
     }
 
     @Test
-    void aDrainingAgentRefusesNewWorkAndFinishesTheOld() {
+    void drainingRefusesNewWorkAndCompletesAcceptedWork() {
         offerCall(1, 1_000);
         mMachine.onDrain();
         offerCall(2, 1_000);
@@ -153,11 +153,11 @@
     }
 
     @Test
-    void aLostEntryStopsIdempotentCallsOnly() {
+    void lostLinkCancelsOnlyIdempotentCalls() {
         offerCall(1, 1_000);
         mMachine.onLinkClosed(LINK, 1);
         assertThat(mStopped, contains(id(1)));
-        Job once =
+        Job nonIdempotent =
                 new Job(
                         WorkKind.CALL,
                         name(),
@@ -171,13 +171,13 @@
                         0,
                         null,
                         0);
-        offer(2, once);
+        offer(2, nonIdempotent);
         mMachine.onLinkClosed(LINK, 2);
         assertThat(mStopped, hasSize(1));
     }
 
     @Test
-    void givesAnAttemptUpAtItsTimeout() {
+    void timesOutRunningAndQueuedAttempts() {
         offerCall(1, 1_000);
         offerCall(2, 1_000);
         mMachine.onTick(Nanos.ofMillis(9_000));
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void refusesACallThatWouldMissItsTarget() {
+    void refusesCallPredictedToMissItsTarget() {
         offerCall(1, 1_000);
         mMachine.onEnd(id(1), 200, "text/plain", Nanos.ofMillis(600));
         offerCall(2, 10_000);
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/attempt/CallReserveTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/attempt/CallReserveTest.java
@@ -15,13 +15,13 @@
 
     @ParameterizedTest
     @CsvSource({"0, 0", "1, 2", "2, 4", "9, 4"})
-    void keepsTheMeanAndADeviationUpToHalf(int calls, int slots) {
+    void reservesMeanPlusOneDeviationUpToHalfOfSlots(int calls, int slots) {
         mReserve.updateOpenCalls(calls, 0);
         assertThat(mReserve.reservedSlots(8, LATER), is(slots));
     }
 
     @Test
-    void givesSlotsUpWhileCallsAreInTime() {
+    void shrinksReserveWhileCallsAreInTime() {
         mReserve.updateOpenCalls(1, 0);
         for (int i = 0; i < 2_000; i++) {
             mReserve.onCallEnd(true, 0.99);
@@ -30,8 +30,8 @@
     }
 
     @Test
-    void takesSlotsBackWhenCallsAreLate() {
-        givesSlotsUpWhileCallsAreInTime();
+    void growsReserveWhenCallsAreLate() {
+        shrinksReserveWhileCallsAreInTime();
         for (int i = 0; i < 8; i++) {
             mReserve.onCallEnd(false, 0.99);
         }
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void restsWhereHalfOfTheAllowedLatenessIsUsed() {
+    void isStableAtHalfOfAllowedLateShare() {
         mReserve.updateOpenCalls(1, 0);
         int before = mReserve.reservedSlots(8, LATER);
         for (int i = 0; i < 10_000; i++) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/attempt/SeenAttemptsTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/attempt/SeenAttemptsTest.java
@@ -10,7 +10,7 @@
     private final SeenAttempts mSeen = new SeenAttempts();
 
     @Test
-    void recognisesRepeatsInAnyOrder() {
+    void detectsDuplicatesInAnyOrder() {
         assertThat(add(1, 5), is(true));
         assertThat(add(1, 3), is(true));
         assertThat(add(1, 5), is(false));
@@ -19,14 +19,14 @@
     }
 
     @Test
-    void idsOlderThanTheWindowCountAsSeen() {
+    void treatsIdsOlderThanWindowAsSeen() {
         assertThat(add(1, 100_000), is(true));
         assertThat(add(1, 3), is(false));
         assertThat(add(1, 99_999), is(true));
     }
 
     @Test
-    void reusesTheWindowAsIdsGrow() {
+    void acceptsNewIdsBeyondWindowSize() {
         for (long counter = 0; counter < 50_000; counter++) {
             assertThat(add(1, counter), is(true));
         }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/DispatcherTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/DispatcherTest.java
@@ -38,24 +38,24 @@
     private static final EndpointLoad FREE = new EndpointLoad(4, 0, 0, 4, 1, false, false, 0);
     private static final EndpointLoad BUSY = new EndpointLoad(4, 4, 3, 0, 1, false, false, 0);
 
-    private final Recorder mOut = new Recorder();
+    private final RecordingOutputs mOutputs = new RecordingOutputs();
     private final Dispatcher mDispatcher =
-            Dispatcher.create(1, LeastLoadChooser.create(HALL_A), mOut);
+            Dispatcher.create(1, LeastLoadChooser.create(HALL_A), mOutputs);
 
-    /** Records what the dispatcher does. */
-    private static final class Recorder implements DispatchOutputs {
-        private final List<VmId> mOffered = new ArrayList<>();
-        private final List<AttemptId> mIds = new ArrayList<>();
+    /** Records the outputs of the dispatcher. */
+    private static final class RecordingOutputs implements DispatchOutputs {
+        private final List<VmId> mOfferedVms = new ArrayList<>();
+        private final List<AttemptId> mOfferedIds = new ArrayList<>();
         private final List<Answer> mAnswers = new ArrayList<>();
         private final List<Fault> mFaults = new ArrayList<>();
-        private final List<SampleInfo> mSamples = new ArrayList<>();
-        private final List<SampleKey> mFound = new ArrayList<>();
+        private final List<SampleInfo> mFinishedSamples = new ArrayList<>();
+        private final List<SampleKey> mUntrackedSamples = new ArrayList<>();
 
         @Override
         public boolean send(VmId vm, AttemptMessage message) {
             if (message instanceof AttemptMessage.Offer offer) {
-                mOffered.add(vm);
-                mIds.add(offer.id());
+                mOfferedVms.add(vm);
+                mOfferedIds.add(offer.id());
             }
             return true;
         }
@@ -70,12 +70,12 @@
 
         @Override
         public void onSampleFinished(Work work, VmId vm, SampleInfo info) {
-            mSamples.add(info);
+            mFinishedSamples.add(info);
         }
 
         @Override
         public void onUntrackedSampleFinished(VmId vm, SampleKey key, SampleInfo info) {
-            mFound.add(key);
+            mUntrackedSamples.add(key);
         }
 
         @Override
@@ -84,12 +84,12 @@
         }
 
         AttemptId lastId() {
-            return mIds.get(mIds.size() - 1);
+            return mOfferedIds.get(mOfferedIds.size() - 1);
         }
     }
 
     @BeforeEach
-    void endpoints() {
+    void addEndpoints() {
         mDispatcher.setEndpointUsable(NEAR, SERVICE, HALL_A, true, 0);
         mDispatcher.setEndpointUsable(FAR, SERVICE, HALL_B, true, 0);
         mDispatcher.onHeartbeat(NEAR, FREE, 0);
@@ -97,101 +97,101 @@
     }
 
     @Test
-    void prefersItsOwnFailureDomainAmongEquals() {
+    void prefersOwnFailureDomainAtEqualLoad() {
         submit(1, true);
         submit(2, true);
-        assertThat(mOut.mOffered, contains(NEAR, FAR));
+        assertThat(mOutputs.mOfferedVms, contains(NEAR, FAR));
     }
 
     @Test
-    void prefersRoomToNearness() {
+    void prefersFreeSlotsToOwnFailureDomain() {
         mDispatcher.onHeartbeat(NEAR, BUSY, 0);
         submit(1, true);
-        assertThat(mOut.mOffered, contains(FAR));
+        assertThat(mOutputs.mOfferedVms, contains(FAR));
     }
 
     @Test
-    void triesAnotherEndpointAfterARefusal() {
+    void triesAnotherEndpointAfterRefusal() {
         submit(1, false);
         refuse(NEAR);
-        assertThat(mOut.mOffered, contains(NEAR, FAR));
+        assertThat(mOutputs.mOfferedVms, contains(NEAR, FAR));
         refuse(FAR);
-        assertThat(mOut.mFaults, hasSize(1));
-        assertThat(mOut.mFaults.get(0).outcome(), is(Outcome.NOT_RUN));
+        assertThat(mOutputs.mFaults, hasSize(1));
+        assertThat(mOutputs.mFaults.get(0).outcome(), is(Outcome.NOT_RUN));
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void sendsAgainAfterALostLinkOnlyIfIdempotent(boolean idempotent) {
+    void retriesAfterLostLinkOnlyIfIdempotent(boolean idempotent) {
         submit(1, idempotent);
         mDispatcher.onLinkLost(NEAR, 1);
-        assertThat(mOut.mOffered.size(), is(idempotent ? 2 : 1));
-        assertThat(mOut.mFaults.size(), is(idempotent ? 0 : 1));
+        assertThat(mOutputs.mOfferedVms.size(), is(idempotent ? 2 : 1));
+        assertThat(mOutputs.mFaults.size(), is(idempotent ? 0 : 1));
     }
 
     @Test
-    void neverCallsWorkNotRunThatMayHaveRun() {
+    void reportsUnknownOutcomeIfEarlierAttemptMayHaveRun() {
         submit(1, true);
         mDispatcher.onLinkLost(NEAR, 1);
         refuse(FAR);
-        assertThat(mOut.mFaults.get(0).outcome(), is(Outcome.UNKNOWN));
+        assertThat(mOutputs.mFaults.get(0).outcome(), is(Outcome.UNKNOWN));
     }
 
     @Test
-    void anAnswerWithAMissingPieceIsNoAnswer() {
+    void rejectsResponseWithMissingPiece() {
         submit(1, false);
-        AttemptId id = mOut.lastId();
+        AttemptId id = mOutputs.lastId();
         mDispatcher.onMessage(NEAR, new AttemptMessage.Piece(id, 0, new byte[] {1}), 1);
         mDispatcher.onMessage(NEAR, done(id, 2), 2);
-        assertThat(mOut.mAnswers, empty());
-        assertThat(mOut.mFaults.get(0).code(), is(FaultCode.TRUNCATED));
+        assertThat(mOutputs.mAnswers, empty());
+        assertThat(mOutputs.mFaults.get(0).code(), is(FaultCode.TRUNCATED));
     }
 
     @Test
-    void dropsMessagesOfClosedAndForeignAttempts() {
+    void dropsMessagesOfClosedAndUnknownAttempts() {
         submit(1, true);
-        AttemptId id = mOut.lastId();
+        AttemptId id = mOutputs.lastId();
         mDispatcher.onMessage(FAR, done(id, 0), 1);
-        assertThat(mOut.mAnswers, empty());
+        assertThat(mOutputs.mAnswers, empty());
         mDispatcher.onMessage(NEAR, done(id, 0), 2);
         mDispatcher.onMessage(NEAR, done(id, 0), 3);
-        assertThat(mOut.mAnswers, hasSize(1));
+        assertThat(mOutputs.mAnswers, hasSize(1));
         assertThat(mDispatcher.dump().unknownMessages(), is(2L));
     }
 
     @Test
-    void samplesWaitForFreshWeights() {
+    void holdsSamplesUntilWeightsAreFreshEnough() {
         SampleKey key = new SampleKey(TrainerId.of("t"), 1, 0);
         mDispatcher.setMinVersion(key.trainer(), 2, 0);
         mDispatcher.submit(work(1, true, key), 0);
-        assertThat(mOut.mOffered, empty());
+        assertThat(mOutputs.mOfferedVms, empty());
         mDispatcher.onHeartbeat(FAR, new EndpointLoad(4, 0, 0, 4, 2, false, false, 0), 1);
-        assertThat(mOut.mOffered, contains(FAR));
+        assertThat(mOutputs.mOfferedVms, contains(FAR));
         SampleInfo info = new SampleInfo(1, 1, WeightVersions.copyOf(List.of(2L)));
-        AttemptId id = mOut.lastId();
+        AttemptId id = mOutputs.lastId();
         mDispatcher.onMessage(FAR, new AttemptMessage.SampleFinished(id, key, info, FREE), 2);
         mDispatcher.onMessage(FAR, new AttemptMessage.SampleFinished(id, key, info, FREE), 3);
-        assertThat(mOut.mSamples, contains(info));
-        assertThat(mOut.mFound, contains(key));
+        assertThat(mOutputs.mFinishedSamples, contains(info));
+        assertThat(mOutputs.mUntrackedSamples, contains(key));
     }
 
     @Test
-    void aLeavingEndpointGetsNothing() {
+    void sendsNothingToDrainingEndpoint() {
         mDispatcher.onHeartbeat(NEAR, new EndpointLoad(4, 0, 0, 4, 1, false, true, 0), 1);
         submit(1, true);
-        assertThat(mOut.mOffered, contains(FAR));
+        assertThat(mOutputs.mOfferedVms, contains(FAR));
     }
 
     @Test
-    void timesOutWithAnHonestOutcome() {
+    void reportsUnknownOutcomeOnTimeoutOfOpenAttempt() {
         submit(1, true);
         mDispatcher.onTick(2_000);
-        assertThat(mOut.mFaults.get(0).outcome(), is(Outcome.UNKNOWN));
+        assertThat(mOutputs.mFaults.get(0).outcome(), is(Outcome.UNKNOWN));
     }
 
     private void refuse(VmId vm) {
         Fault fault = Fault.notRun(FaultCode.OVERLOADED, "agent.admit", vm.value(), "full");
-        mDispatcher.onMessage(vm, new AttemptMessage.Refused(mOut.lastId(), fault, BUSY), 1);
+        mDispatcher.onMessage(vm, new AttemptMessage.Refused(mOutputs.lastId(), fault, BUSY), 1);
     }
 
     private void submit(long id, boolean idempotent) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/LeastLoadChooserTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/LeastLoadChooserTest.java
@@ -22,31 +22,31 @@
     private static final long SECOND = Nanos.PER_SECOND;
 
     private final LeastLoadChooser mChooser = LeastLoadChooser.create(DOMAIN);
-    private final EndpointView mSlow = view("slow", 8);
-    private final EndpointView mFast = view("fast", 2);
-    private final List<EndpointView> mBoth = List.of(mSlow, mFast);
+    private final EndpointView mSlowView = view("slow", 8);
+    private final EndpointView mFastView = view("fast", 2);
+    private final List<EndpointView> mViews = List.of(mSlowView, mFastView);
 
     @Test
-    void callsAvoidASlowEndpointWhileAnotherHasRoom() {
-        measureBoth();
+    void callsAvoidSlowEndpointWhileAnotherHasFreeSlots() {
+        recordLatencies();
         assertThat(choose(call(), SECOND), is("fast"));
     }
 
     @Test
-    void callsTakeASlowEndpointWhenNoOtherHasRoom() {
-        measureBoth();
-        mFast.onLoad(load(0));
+    void callsUseSlowEndpointIfNoOtherHasFreeSlots() {
+        recordLatencies();
+        mFastView.onLoad(load(0));
         assertThat(choose(call(), SECOND), is("slow"));
     }
 
     @Test
-    void slownessIsForgottenWhenNothingMeasuresIt() {
-        measureBoth();
+    void latencyMeasurementsExpire() {
+        recordLatencies();
         assertThat(choose(call(), 20 * SECOND), is("slow"));
     }
 
     @Test
-    void samplesOfAGroupStayTogetherWithinTheSlack() {
+    void samplesWithSamePrefixShareEndpointWithinSlack() {
         List<EndpointView> views = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             views.add(view("vm-" + i, 4 + i % 2));
@@ -59,13 +59,13 @@
         }
     }
 
-    private void measureBoth() {
-        mSlow.recordLatency(10, SECOND, 0);
-        mFast.recordLatency(10, SECOND / 3, 0);
+    private void recordLatencies() {
+        mSlowView.recordLatency(10, SECOND, 0);
+        mFastView.recordLatency(10, SECOND / 3, 0);
     }
 
     private String choose(Work work, long now) {
-        return mChooser.choose(work, mBoth, now).orElseThrow().vm().value();
+        return mChooser.choose(work, mViews, now).orElseThrow().vm().value();
     }
 
     private static EndpointView view(String vm, int free) {
