--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
@@ -72,8 +72,8 @@
     /** Handles the report of one endpoint that has loaded its version, among all. */
     @Benchmark
     public void loadResult() {
-        mPlanner.onLatest(SERVICE, ++mVersion, 0);
-        mPlanner.onResult(
+        mPlanner.onLatestVersion(SERVICE, ++mVersion, 0);
+        mPlanner.onLoadResult(
                 mPeers.get((int) (mVersion % mFleet)).vm(),
                 SERVICE,
                 new WeightMessage.LoadResult(mVersion, null),
@@ -98,12 +98,12 @@
     /** Takes every order and does nothing. */
     private static final class NoPlanner implements PlannerOutputs {
         @Override
-        public boolean order(VmId vm, WeightMessage.LoadOrder order) {
+        public boolean sendOrder(VmId vm, WeightMessage.LoadOrder order) {
             return true;
         }
 
         @Override
-        public void askLatest(ServiceName service) {}
+        public void requestLatestVersion(ServiceName service) {}
 
         @Override
         public String storeSource(ServiceName service, long version) {
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/StepBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/StepBench.java
@@ -103,7 +103,7 @@
         public void cancel(long workId) {}
 
         @Override
-        public void abandon(long workId) {}
+        public void detach(long workId) {}
 
         @Override
         public void setMinVersion(TrainerId trainer, long version) {}
@@ -126,7 +126,7 @@
         public void broadcast(ServiceName service, AttemptMessage message) {}
 
         @Override
-        public void score(ServiceName scorer, SampleKey key, byte[] content) {}
+        public void startScoring(ServiceName scorer, SampleKey key, byte[] content) {}
 
         @Override
         public void forward(LeaseHolder owner, long requestId, StepRequest request) {}
@@ -137,10 +137,10 @@
         }
 
         @Override
-        public void idle(TrainerId trainer, long nanos) {}
+        public void recordTrainerIdleTime(TrainerId trainer, long nanos) {}
 
         @Override
-        public void delivered(TrainerId trainer, long age) {}
+        public void recordDeliveredSample(TrainerId trainer, long age) {}
 
         @Override
         public long nextWorkId() {
@@ -153,7 +153,7 @@
     public int step() {
         Loop loop = begin();
         for (Work work : List.copyOf(loop.mWorks)) {
-            loop.mMachine.onFinished(VM, sample(work), INFO, loop.mNow);
+            loop.mMachine.onSampleFinished(VM, sample(work), INFO, loop.mNow);
         }
         String cursor = "";
         int pulls = 0;
@@ -185,7 +185,8 @@
     private Loop begin() {
         Loop loop = new Loop();
         loop.mMachine =
-                RolloutMachine.create(SELF, group -> new byte[0], StragglerPolicy.tail(), loop);
+                RolloutMachine.create(
+                        SELF, group -> new byte[0], StragglerPolicy.hedgeTail(), loop);
         ClassSpec spec =
                 new ClassSpec(CLASS, SERVICE, ClassKind.ROLLOUT, 0, 0, true, 2, 5_000, null);
         loop.mMachine.onConfig(new OperatorConfig(1, Map.of(), Map.of(CLASS, spec)));
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Cursor.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Cursor.java
@@ -85,17 +85,17 @@
     }
 
     /** Returns the number of slots of the step; zero while unknown. */
-    public int total() {
+    public int totalSlots() {
         return mTotal;
     }
 
     /** Returns whether the trainer has a slot. */
-    public boolean has(int slot) {
+    public boolean hasSlot(int slot) {
         return mSlots.get(slot);
     }
 
     /** Returns how many slots the trainer has. */
-    public int count() {
+    public int slotCount() {
         return mSlots.cardinality();
     }
 
@@ -105,7 +105,7 @@
     }
 
     /** Returns a cursor that also has the given slots. */
-    public Cursor with(BitSet more) {
+    public Cursor withSlots(BitSet more) {
         BitSet union = slots();
         union.or(more);
         return new Cursor(mTrainer, mStep, mTotal, union);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StepPulls.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/PullHandler.java
@@ -21,27 +21,27 @@
  *
  * <p>Not thread safe; confined to the rollout duty.
  */
-final class StepPulls {
+final class PullHandler {
     private static final long FETCH_NANOS = Nanos.ofMillis(3_000);
     private static final int MAX_ANSWER_BYTES = 4 << 20;
     private static final long RETRY_MILLIS = 200;
 
     private final Step mStep;
     private final RolloutOutputs mOutputs;
-    private @Nullable OpenPull mPull;
+    private @Nullable PendingPull mPull;
 
-    StepPulls(Step step, RolloutOutputs outputs) {
+    PullHandler(Step step, RolloutOutputs outputs) {
         mStep = step;
         mOutputs = outputs;
     }
 
-    boolean isOpen() {
+    boolean hasPendingPull() {
         return mPull != null;
     }
 
-    void open(OpenPull pull, long now) {
+    void start(PendingPull pull, long now) {
         mPull = pull;
-        serve(now);
+        fetchReadySamples(now);
     }
 
     /** Forgets a pull that nobody waits for any more. */
@@ -52,7 +52,7 @@
     }
 
     /** Refuses the open pull, if there is one. */
-    void refuseOpen(FaultCode code, String detail) {
+    void refusePending(FaultCode code, String detail) {
         if (mPull != null) {
             refuse(mOutputs, mPull, code, detail);
             mPull = null;
@@ -60,51 +60,52 @@
     }
 
     /** Refuses a pull, of which nothing was handed over. */
-    static void refuse(RolloutOutputs outputs, OpenPull pull, FaultCode code, String detail) {
+    static void refuse(RolloutOutputs outputs, PendingPull pull, FaultCode code, String detail) {
         Fault fault =
                 Fault.notRun(code, "step.pull", "", detail).withRetryAfterMillis(RETRY_MILLIS);
         outputs.reply(pull.mRequestId, StepReply.failed(fault));
     }
 
     void onTick(long now) {
-        OpenPull pull = mPull;
+        PendingPull pull = mPull;
         if (pull == null) {
             return;
         }
-        if (!pull.mFetching.isEmpty() && now - pull.mFetchDeadline >= 0) {
-            pull.mFetching.clear();
+        if (!pull.mPendingFetches.isEmpty() && now - pull.mFetchDeadline >= 0) {
+            pull.mPendingFetches.clear();
             finish(pull, now);
-        } else if (pull.mFetching.isEmpty() && now - pull.mDeadline >= 0) {
+        } else if (pull.mPendingFetches.isEmpty() && now - pull.mDeadline >= 0) {
             answer(pull, now);
         } else {
-            serve(now);
+            fetchReadySamples(now);
         }
     }
 
     /** Fetches the content of what can be handed out, unless a fetch is under way. */
-    void serve(long now) {
-        OpenPull pull = mPull;
-        if (pull == null || !pull.mFetching.isEmpty()) {
+    void fetchReadySamples(long now) {
+        PendingPull pull = mPull;
+        if (pull == null || !pull.mPendingFetches.isEmpty()) {
             return;
         }
         for (Slot slot : selectReady(pull)) {
             boolean sent =
                     slot.mVm != null
                             && mOutputs.send(
-                                    slot.mVm, new AttemptMessage.FetchSample(mStep.key(slot)));
+                                    slot.mVm,
+                                    new AttemptMessage.FetchSample(mStep.sampleKey(slot)));
             if (sent) {
-                pull.mFetching.set(slot.mIndex);
+                pull.mPendingFetches.set(slot.mIndex);
             }
         }
         pull.mFetchDeadline = now + FETCH_NANOS;
     }
 
     /** Selects finished slots, those of whole groups first, within the answer's limits. */
-    private List<Slot> selectReady(OpenPull pull) {
+    private List<Slot> selectReady(PendingPull pull) {
         Map<Integer, Integer> unfinished = new HashMap<>();
         List<Slot> ready = new ArrayList<>();
         for (Slot slot : mStep.slots()) {
-            if (slot.mPhase == Slot.Phase.READY && !pull.mCursor.has(slot.mIndex)) {
+            if (slot.mPhase == Slot.Phase.READY && !pull.mCursor.hasSlot(slot.mIndex)) {
                 ready.add(slot);
             } else if (slot.mPhase != Slot.Phase.DELIVERED) {
                 unfinished.merge(slot.mGroup, 1, Integer::sum);
@@ -117,7 +118,7 @@
         long bytes = 0;
         for (Slot slot : ready) {
             bytes += slot.mInfo == null ? 0 : slot.mInfo.bytes();
-            boolean full = selected.size() >= pull.mMax || bytes > MAX_ANSWER_BYTES;
+            boolean full = selected.size() >= pull.mMaxSamples || bytes > MAX_ANSWER_BYTES;
             if (full && !selected.isEmpty()) {
                 break;
             }
@@ -127,12 +128,12 @@
     }
 
     /** Handles content that was fetched; its age is checked once more, at the hand-over. */
-    void onContent(Slot slot, byte[] content, SampleInfo info, long now) {
-        OpenPull pull = mPull;
-        if (pull == null || !pull.mFetching.get(slot.mIndex)) {
+    void onSampleContent(Slot slot, byte[] content, SampleInfo info, long now) {
+        PendingPull pull = mPull;
+        if (pull == null || !pull.mPendingFetches.get(slot.mIndex)) {
             return;
         }
-        pull.mFetching.clear(slot.mIndex);
+        pull.mPendingFetches.clear(slot.mIndex);
         if (mStep.isStale(info)) {
             mStep.rerun(slot, now);
         } else {
@@ -145,38 +146,39 @@
                             info.versions(),
                             slot.mScore));
         }
-        if (pull.mFetching.isEmpty()) {
+        if (pull.mPendingFetches.isEmpty()) {
             finish(pull, now);
         }
     }
 
     /** Takes note that a slot's content can't be had. */
-    void onContentLost(int index, long now) {
-        OpenPull pull = mPull;
-        if (pull != null && pull.mFetching.get(index)) {
-            pull.mFetching.clear(index);
-            if (pull.mFetching.isEmpty()) {
+    void onContentUnavailable(int index, long now) {
+        PendingPull pull = mPull;
+        if (pull != null && pull.mPendingFetches.get(index)) {
+            pull.mPendingFetches.clear(index);
+            if (pull.mPendingFetches.isEmpty()) {
                 finish(pull, now);
             }
         }
     }
 
-    private void finish(OpenPull pull, long now) {
+    private void finish(PendingPull pull, long now) {
         if (pull.mSamples.isEmpty()) {
-            serve(now);
+            fetchReadySamples(now);
         } else {
             answer(pull, now);
         }
     }
 
-    private void answer(OpenPull pull, long now) {
+    private void answer(PendingPull pull, long now) {
         mPull = null;
-        Cursor next = pull.next();
-        int remaining = mStep.slots().size() - next.count();
-        mOutputs.idle(mStep.manifest().trainer(), now - pull.mOpenedAt);
+        Cursor next = pull.nextCursor();
+        int remaining = mStep.slots().size() - next.slotCount();
+        mOutputs.recordTrainerIdleTime(mStep.manifest().trainer(), now - pull.mOpenedAt);
         for (Sample sample : pull.mSamples) {
-            mOutputs.delivered(
-                    mStep.manifest().trainer(), mStep.version() - sample.versions().oldest());
+            mOutputs.recordDeliveredSample(
+                    mStep.manifest().trainer(),
+                    mStep.trainerVersion() - sample.versions().oldest());
         }
         mOutputs.reply(
                 pull.mRequestId,
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutMachine.java
@@ -29,7 +29,7 @@
  */
 public final class RolloutMachine implements Ticking, LeaseListener {
     private final LeaseHolder mSelf;
-    private final CompletionBodies mBodies;
+    private final CompletionRequestEncoder mBodies;
     private final StragglerPolicy mStragglers;
     private final RolloutOutputs mOutputs;
     private final Map<TrainerId, TrainerSteps> mTrainers = new HashMap<>();
@@ -37,7 +37,7 @@
 
     private RolloutMachine(
             LeaseHolder self,
-            CompletionBodies bodies,
+            CompletionRequestEncoder bodies,
             StragglerPolicy stragglers,
             RolloutOutputs outputs) {
         mSelf = self;
@@ -49,7 +49,7 @@
     /** Creates a machine that owns no step. */
     public static RolloutMachine create(
             LeaseHolder self,
-            CompletionBodies bodies,
+            CompletionRequestEncoder bodies,
             StragglerPolicy stragglers,
             RolloutOutputs outputs) {
         return new RolloutMachine(self, bodies, stragglers, outputs);
@@ -82,7 +82,7 @@
 
     @Override
     public void onLeaseRecord(String key, LeaseRecord reading, long now) {
-        byKey(key, trainer -> trainer.onReading(reading, mConfig, now));
+        byKey(key, trainer -> trainer.onLeaseRecord(reading, mConfig, now));
     }
 
     @Override
@@ -105,7 +105,7 @@
 
     /** Handles the outcome of storing a manifest. */
     public void onManifestStored(StepManifest manifest, Optional<Fault> fault, long now) {
-        trainer(manifest.trainer()).onStored(manifest, fault, mConfig, now);
+        trainer(manifest.trainer()).onManifestStored(manifest, fault, mConfig, now);
     }
 
     /** Handles the outcome of loading a manifest; null without a fault means that there is none. */
@@ -115,14 +115,14 @@
             @Nullable StepManifest manifest,
             Optional<Fault> fault,
             long now) {
-        trainer(trainer).onLoaded(step, manifest, fault, mConfig, now);
+        trainer(trainer).onManifestLoaded(step, manifest, fault, mConfig, now);
     }
 
     /** Handles a sample that finished at an agent. */
-    public void onFinished(VmId vm, SampleKey key, SampleInfo info, long now) {
+    public void onSampleFinished(VmId vm, SampleKey key, SampleInfo info, long now) {
         Step step = step(key.trainer(), key.step());
         if (step != null) {
-            step.onFinished(vm, key, info, now);
+            step.onSampleFinished(vm, key, info, now);
         }
     }
 
@@ -130,7 +130,7 @@
     public void onSampleFailed(SampleKey key, long now) {
         Step step = step(key.trainer(), key.step());
         if (step != null) {
-            step.onFailed(key, now);
+            step.onSampleFailed(key, now);
         }
     }
 
@@ -147,7 +147,7 @@
         if (message instanceof AttemptMessage.SampleContent content) {
             Step step = step(content.key().trainer(), content.key().step());
             if (step != null) {
-                step.onContent(vm, content, now);
+                step.onSampleContent(vm, content, now);
             }
         } else if (message instanceof AttemptMessage.HeldSamples held) {
             Step step = step(held.trainer(), held.step());
@@ -161,7 +161,7 @@
     public void onAgentConnected(VmId vm, ServiceName service) {
         forEachStep(
                 step -> {
-                    if (step.spec().service().equals(service)) {
+                    if (step.classSpec().service().equals(service)) {
                         step.onAgentConnected(vm);
                     }
                 });
@@ -188,7 +188,7 @@
             if (trainer.lease().isHeld(now)) {
                 leases.put(trainer.lease().key(), trainer.lease().fence());
             }
-            trainer.abandonAll();
+            trainer.detachAll();
         }
         return leases;
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutOutputs.java
@@ -28,7 +28,7 @@
     void cancel(long workId);
 
     /** Takes a sample back from the dispatch duty, and lets its attempt go on. */
-    void abandon(long workId);
+    void detach(long workId);
 
     /** Tells the dispatch duty the oldest version that is fresh enough for a trainer. */
     void setMinVersion(TrainerId trainer, long version);
@@ -40,7 +40,7 @@
     void broadcast(ServiceName service, AttemptMessage message);
 
     /** Has a sample scored; the score comes back as an event. */
-    void score(ServiceName scorer, SampleKey key, byte[] content);
+    void startScoring(ServiceName scorer, SampleKey key, byte[] content);
 
     /** Passes a request on to another owner. */
     void forward(LeaseHolder owner, long requestId, StepRequest request);
@@ -49,16 +49,16 @@
     void reply(long requestId, StepReply reply);
 
     /** Tells how long a trainer waited for a sample, in nanoseconds. */
-    void idle(TrainerId trainer, long nanos);
+    void recordTrainerIdleTime(TrainerId trainer, long nanos);
 
     /** Tells the age of a delivered sample, in versions. */
-    void delivered(TrainerId trainer, long age);
+    void recordDeliveredSample(TrainerId trainer, long age);
 
     /** Returns a new number for a piece of work, unique in the process. */
     long nextWorkId();
 
     /** Releases samples at an agent. */
-    default void release(VmId vm, List<SampleKey> keys) {
+    default void releaseSamples(VmId vm, List<SampleKey> keys) {
         send(vm, new AttemptMessage.ReleaseSamples(keys));
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Slot.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Slot.java
@@ -26,7 +26,7 @@
     final int mGroup;
     Phase mPhase = Phase.PENDING;
     long mWorkId;
-    long mSecondWorkId;
+    long mHedgeWorkId;
     long mSubmittedAt;
     @Nullable VmId mVm;
     @Nullable SampleInfo mInfo;
@@ -41,7 +41,7 @@
     /** Forgets a finished sample, so that the slot runs again. */
     void reset() {
         mPhase = Phase.PENDING;
-        mSecondWorkId = 0;
+        mHedgeWorkId = 0;
         mVm = null;
         mInfo = null;
         mScore = null;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Step.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Step.java
@@ -37,7 +37,7 @@
     private static final String JSON = "application/json";
 
     private final StepManifest mManifest;
-    private final CompletionBodies mBodies;
+    private final CompletionRequestEncoder mBodies;
     private final StragglerPolicy mStragglers;
     private final RotatingHistogram mDurations = RotatingHistogram.create(256);
     private final RolloutOutputs mOutputs;
@@ -47,7 +47,7 @@
     private ClassSpec mSpec;
     private long mVersion;
     private long mPulledAt;
-    private final StepPulls mPulls;
+    private final PullHandler mPulls;
     private boolean mClosed;
     private long mStale;
     private long mRepeated;
@@ -55,7 +55,7 @@
     Step(
             StepManifest manifest,
             ClassSpec spec,
-            CompletionBodies bodies,
+            CompletionRequestEncoder bodies,
             StragglerPolicy stragglers,
             RolloutOutputs outputs,
             long fence,
@@ -68,7 +68,7 @@
         mFence = fence;
         mStartedAt = now;
         mPulledAt = now;
-        mPulls = new StepPulls(this, outputs);
+        mPulls = new PullHandler(this, outputs);
         mVersion = manifest.version();
         int index = 0;
         for (int group = 0; group < manifest.groups().size(); group++) {
@@ -87,11 +87,11 @@
     }
 
     /** Returns the trainer's version by its newest pull. */
-    long version() {
+    long trainerVersion() {
         return mVersion;
     }
 
-    ClassSpec spec() {
+    ClassSpec classSpec() {
         return mSpec;
     }
 
@@ -100,11 +100,11 @@
     }
 
     /** Returns whether the trainer has not asked for the step for long. */
-    boolean isForgotten(long now) {
-        return !mPulls.isOpen() && now - mPulledAt >= FORGOTTEN_NANOS;
+    boolean isIdle(long now) {
+        return !mPulls.hasPendingPull() && now - mPulledAt >= FORGOTTEN_NANOS;
     }
 
-    void onSpec(ClassSpec spec) {
+    void onClassSpec(ClassSpec spec) {
         mSpec = spec;
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** Starts a step that another owner may have begun: asks the agents first. */
-    void startTakenOver(long now) {
+    void startAfterTakeover(long now) {
         mOutputs.setMinVersion(mManifest.trainer(), minVersion());
         for (Slot slot : mSlots) {
             slot.mPhase = Slot.Phase.ADOPTED;
@@ -138,13 +138,13 @@
             if (there && vm.equals(slot.mVm)) {
                 slot.mPhase = Slot.Phase.ADOPTED;
                 slot.mRetryAt = now + ADOPTION_NANOS;
-                mPulls.onContentLost(slot.mIndex, now);
+                mPulls.onContentUnavailable(slot.mIndex, now);
             }
         }
     }
 
     void onHeldSamples(VmId vm, AttemptMessage.HeldSamples held, long now) {
-        held.held().forEach(sample -> onFinished(vm, sample.key(), sample.info(), now));
+        held.held().forEach(sample -> onSampleFinished(vm, sample.key(), sample.info(), now));
         for (SampleKey key : held.running()) {
             Slot slot = slot(key);
             if (slot != null && slot.mPhase == Slot.Phase.ADOPTED) {
@@ -155,14 +155,14 @@
     }
 
     /** Handles a finished sample; the first one for a slot stays, any other is released. */
-    void onFinished(VmId vm, SampleKey key, SampleInfo info, long now) {
+    void onSampleFinished(VmId vm, SampleKey key, SampleInfo info, long now) {
         Slot slot = slot(key);
         if (slot == null) {
             return;
         }
         if (isFilled(slot)) {
             if (!vm.equals(slot.mVm) || slot.mPhase == Slot.Phase.DELIVERED) {
-                mOutputs.release(vm, List.of(key));
+                mOutputs.releaseSamples(vm, List.of(key));
             }
             return;
         }
@@ -181,11 +181,11 @@
             slot.mRetryAt = now + FETCH_NANOS;
             mOutputs.send(vm, new AttemptMessage.FetchSample(key));
         }
-        mPulls.serve(now);
+        mPulls.fetchReadySamples(now);
     }
 
     /** Handles work that the dispatch duty gave up. */
-    void onFailed(SampleKey key, long now) {
+    void onSampleFailed(SampleKey key, long now) {
         Slot slot = slot(key);
         if (slot != null && slot.mPhase == Slot.Phase.SUBMITTED) {
             cancelWork(slot);
@@ -205,10 +205,10 @@
         }
         slot.mScore = score;
         slot.mPhase = Slot.Phase.READY;
-        mPulls.serve(now);
+        mPulls.fetchReadySamples(now);
     }
 
-    void onContent(VmId vm, AttemptMessage.SampleContent message, long now) {
+    void onSampleContent(VmId vm, AttemptMessage.SampleContent message, long now) {
         Slot slot = slot(message.key());
         if (slot == null || !vm.equals(slot.mVm)) {
             return;
@@ -220,21 +220,21 @@
                 slot.reset();
                 submit(slot, now);
             }
-            mPulls.onContentLost(slot.mIndex, now);
+            mPulls.onContentUnavailable(slot.mIndex, now);
             return;
         }
         if (slot.mPhase == Slot.Phase.SCORING && mSpec.scorer() != null) {
             slot.mRetryAt = now + FETCH_NANOS;
-            mOutputs.score(mSpec.scorer(), message.key(), content);
+            mOutputs.startScoring(mSpec.scorer(), message.key(), content);
             return;
         }
-        mPulls.onContent(slot, content, message.info(), now);
+        mPulls.onSampleContent(slot, content, message.info(), now);
     }
 
     /** Handles a pull whose cursor is of this step. */
-    void onPull(OpenPull pull, long now) {
-        if (mPulls.isOpen()) {
-            StepPulls.refuse(
+    void onPull(PendingPull pull, long now) {
+        if (mPulls.hasPendingPull()) {
+            PullHandler.refuse(
                     mOutputs, pull, FaultCode.CONFLICT, "another pull of the step is open");
             return;
         }
@@ -242,7 +242,7 @@
         mPulledAt = now;
         mOutputs.setMinVersion(mManifest.trainer(), minVersion());
         acknowledge(pull.mCursor);
-        if (pull.mCursor.count() == mSlots.size()) {
+        if (pull.mCursor.slotCount() == mSlots.size()) {
             close();
             mOutputs.reply(
                     pull.mRequestId,
@@ -250,7 +250,7 @@
             return;
         }
         dropStale(now);
-        mPulls.open(pull, now);
+        mPulls.start(pull, now);
     }
 
     /** Ends the step: its attempts are cancelled and its samples released. */
@@ -264,19 +264,19 @@
         mOutputs.broadcast(
                 mSpec.service(),
                 new AttemptMessage.CloseStep(mManifest.trainer(), mManifest.step(), mFence));
-        mPulls.refuseOpen(FaultCode.CANCELLED, "the step was cancelled");
+        mPulls.refusePending(FaultCode.CANCELLED, "the step was cancelled");
     }
 
     /** Forgets the step, because another process owns it now; its attempts go on. */
-    void abandon() {
+    void detach() {
         mClosed = true;
         for (Slot slot : mSlots) {
             if (slot.mPhase == Slot.Phase.SUBMITTED) {
-                mOutputs.abandon(slot.mWorkId);
-                mOutputs.abandon(slot.mSecondWorkId);
+                mOutputs.detach(slot.mWorkId);
+                mOutputs.detach(slot.mHedgeWorkId);
             }
         }
-        mPulls.refuseOpen(FaultCode.OWNER_UNAVAILABLE, "another entry owns the step now");
+        mPulls.refusePending(FaultCode.OWNER_UNAVAILABLE, "another entry owns the step now");
     }
 
     /** Cancels the open pull of a request that nobody waits for any more. */
@@ -294,7 +294,7 @@
                 submit(slot, now);
             } else if (slot.mPhase == Slot.Phase.SCORING && slot.mVm != null) {
                 slot.mRetryAt = now + FETCH_NANOS;
-                mOutputs.send(slot.mVm, new AttemptMessage.FetchSample(key(slot)));
+                mOutputs.send(slot.mVm, new AttemptMessage.FetchSample(sampleKey(slot)));
             }
         }
         repeatStragglers(now);
@@ -326,11 +326,11 @@
                 cancelWork(slot);
             }
             if (slot.mPhase != Slot.Phase.DELIVERED && slot.mVm != null) {
-                releases.computeIfAbsent(slot.mVm, vm -> new ArrayList<>()).add(key(slot));
+                releases.computeIfAbsent(slot.mVm, vm -> new ArrayList<>()).add(sampleKey(slot));
             }
             slot.mPhase = Slot.Phase.DELIVERED;
         }
-        releases.forEach(mOutputs::release);
+        releases.forEach(mOutputs::releaseSamples);
     }
 
     private void dropStale(long now) {
@@ -345,7 +345,7 @@
     void rerun(Slot slot, long now) {
         mStale++;
         if (slot.mVm != null) {
-            mOutputs.release(slot.mVm, List.of(key(slot)));
+            mOutputs.releaseSamples(slot.mVm, List.of(sampleKey(slot)));
         }
         slot.reset();
         submit(slot, now);
@@ -375,19 +375,19 @@
         }
         long typical = mDurations.quantile(MEDIAN, 0);
         for (Slot slot : mSlots) {
-            boolean single = slot.mPhase == Slot.Phase.SUBMITTED && slot.mSecondWorkId == 0;
+            boolean single = slot.mPhase == Slot.Phase.SUBMITTED && slot.mHedgeWorkId == 0;
             long age = Nanos.toMillis(now - slot.mSubmittedAt);
-            if (single && mStragglers.shouldRepeat(age, typical, unfinished, mSlots.size())) {
+            if (single && mStragglers.shouldHedge(age, typical, unfinished, mSlots.size())) {
                 mRepeated++;
-                slot.mSecondWorkId = submitWork(slot, now);
+                slot.mHedgeWorkId = submitWork(slot, now);
             }
         }
     }
 
     private void cancelWork(Slot slot) {
         mOutputs.cancel(slot.mWorkId);
-        if (slot.mSecondWorkId != 0) {
-            mOutputs.cancel(slot.mSecondWorkId);
+        if (slot.mHedgeWorkId != 0) {
+            mOutputs.cancel(slot.mHedgeWorkId);
         }
     }
 
@@ -408,9 +408,9 @@
                         false,
                         COMPLETIONS,
                         JSON,
-                        mBodies.completion(group),
+                        mBodies.encode(group),
                         group.prompt().hashCode(),
-                        key(slot),
+                        sampleKey(slot),
                         mFence));
         return id;
     }
@@ -425,7 +425,7 @@
         return new AttemptMessage.HeldQuery(mManifest.trainer(), mManifest.step(), mFence);
     }
 
-    SampleKey key(Slot slot) {
+    SampleKey sampleKey(Slot slot) {
         return new SampleKey(mManifest.trainer(), mManifest.step(), slot.mIndex);
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StragglerPolicy.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StragglerPolicy.java
@@ -14,10 +14,10 @@
      * @param unfinished slots of the step that are not finished
      * @param slots all slots of the step
      */
-    boolean shouldRepeat(long ageMillis, long typicalMillis, int unfinished, int slots);
+    boolean shouldHedge(long ageMillis, long typicalMillis, int unfinished, int slots);
 
     /** Returns the policy that never starts a second attempt. */
-    static StragglerPolicy never() {
+    static StragglerPolicy neverHedge() {
         return (age, typical, unfinished, slots) -> false;
     }
 
@@ -26,7 +26,7 @@
      * others. Only the tail is repeated, so the tokens that a losing attempt wastes are bounded by
      * the tail's share of the step.
      */
-    static StragglerPolicy tail() {
-        return new TailStragglers();
+    static StragglerPolicy hedgeTail() {
+        return new TailStragglerPolicy();
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TailStragglers.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TailStragglerPolicy.java
@@ -1,12 +1,12 @@
 package org.ebonyrun.core.rollout;
 
 /** Repeats slow samples in the tail of a step. Immutable and thread safe. */
-final class TailStragglers implements StragglerPolicy {
+final class TailStragglerPolicy implements StragglerPolicy {
     private static final double TAIL_SHARE = 0.1;
     private static final double SLOWNESS = 1.5;
 
     @Override
-    public boolean shouldRepeat(long ageMillis, long typicalMillis, int unfinished, int slots) {
+    public boolean shouldHedge(long ageMillis, long typicalMillis, int unfinished, int slots) {
         boolean inTail = unfinished <= Math.max(1, slots * TAIL_SHARE);
         return inTail && typicalMillis > 0 && ageMillis > typicalMillis * SLOWNESS;
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TrainerSteps.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TrainerSteps.java
@@ -34,7 +34,7 @@
 
     private final TrainerId mTrainer;
     private final Lease mLease;
-    private final CompletionBodies mBodies;
+    private final CompletionRequestEncoder mBodies;
     private final StragglerPolicy mStragglers;
     private final RolloutOutputs mOutputs;
     private final Map<Long, Step> mSteps = new HashMap<>();
@@ -45,7 +45,7 @@
     TrainerSteps(
             TrainerId trainer,
             LeaseHolder self,
-            CompletionBodies bodies,
+            CompletionRequestEncoder bodies,
             StragglerPolicy stragglers,
             RolloutOutputs outputs) {
         mTrainer = trainer;
@@ -76,11 +76,11 @@
         dispatch(parked, config, now);
     }
 
-    void onReading(LeaseRecord reading, OperatorConfig config, long now) {
+    void onLeaseRecord(LeaseRecord reading, OperatorConfig config, long now) {
         long fence = mLease.fence();
         mLease.onRecord(reading, now);
         if (!mLease.isHeld(now) || mLease.fence() != fence) {
-            abandonAll();
+            detachAll();
         }
         retryParked(config, now);
     }
@@ -97,7 +97,8 @@
         mLease.acquireIfDue(now);
     }
 
-    void onStored(StepManifest manifest, Optional<Fault> fault, OperatorConfig config, long now) {
+    void onManifestStored(
+            StepManifest manifest, Optional<Fault> fault, OperatorConfig config, long now) {
         List<Parked> waiting = mStoring.remove(manifest.step());
         if (waiting == null) {
             return;
@@ -116,7 +117,7 @@
     }
 
     /** Handles a manifest that was read: one that a pull needs, or that a submission met. */
-    void onLoaded(
+    void onManifestLoaded(
             long step,
             @Nullable StepManifest manifest,
             Optional<Fault> fault,
@@ -133,7 +134,7 @@
         if (manifest != null && mLease.isHeld(now) && !mSteps.containsKey(step)) {
             Step created = create(manifest, config, now);
             if (created != null) {
-                created.startTakenOver(now);
+                created.startAfterTakeover(now);
             }
         }
         for (Parked parked : waiting) {
@@ -149,7 +150,7 @@
 
     void onConfig(OperatorConfig config) {
         for (Step step : mSteps.values()) {
-            config.classSpec(step.manifest().className()).ifPresent(step::onSpec);
+            config.classSpec(step.manifest().className()).ifPresent(step::onClassSpec);
         }
     }
 
@@ -167,8 +168,8 @@
         }
         for (Step step : List.copyOf(mSteps.values())) {
             step.onTick(now);
-            if (step.isForgotten(now)) {
-                step.abandon();
+            if (step.isIdle(now)) {
+                step.detach();
                 mSteps.remove(step.manifest().step());
             }
         }
@@ -263,9 +264,10 @@
             return;
         }
         int slots = step.manifest().slots();
-        Cursor cursor = given.total() == 0 ? Cursor.empty(mTrainer, pull.step(), slots) : given;
-        if (cursor.total() != slots) {
-            String detail = "the cursor is of a step with " + cursor.total() + " samples";
+        Cursor cursor =
+                given.totalSlots() == 0 ? Cursor.empty(mTrainer, pull.step(), slots) : given;
+        if (cursor.totalSlots() != slots) {
+            String detail = "the cursor is of a step with " + cursor.totalSlots() + " samples";
             fail(
                     parked.requestId(),
                     Fault.notRun(FaultCode.BAD_REQUEST, "step.cursor", "", detail));
@@ -273,7 +275,8 @@
         }
         long deadline = now + Nanos.ofMillis(pull.waitMillis());
         step.onPull(
-                new OpenPull(parked.requestId(), cursor, pull.version(), pull.max(), now, deadline),
+                new PendingPull(
+                        parked.requestId(), cursor, pull.version(), pull.max(), now, deadline),
                 now);
         if (step.isClosed()) {
             remove(step);
@@ -311,8 +314,8 @@
     }
 
     /** Forgets all steps; their attempts go on. */
-    void abandonAll() {
-        mSteps.values().forEach(Step::abandon);
+    void detachAll() {
+        mSteps.values().forEach(Step::detach);
         mSteps.clear();
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/RolloutPlan.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/EndpointTracker.java
@@ -20,7 +20,7 @@
  *
  * <p>Not thread safe; confined to the weight duty.
  */
-final class RolloutPlan {
+final class EndpointTracker {
     /** The weight store as a source. */
     static final String STORE = "";
 
@@ -53,19 +53,19 @@
         }
     }
 
-    long latest() {
+    long latestVersion() {
         return mLatest;
     }
 
-    long failures() {
+    long failureCount() {
         return mFailures;
     }
 
-    int size() {
+    int endpointCount() {
         return mReplicas.size();
     }
 
-    int loading() {
+    int loadingCount() {
         return mLoading.size();
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** Takes note of a newer version in the store; every endpoint is placed anew. */
-    void onLatest(long version) {
+    void onLatestVersion(long version) {
         if (version <= mLatest) {
             return;
         }
@@ -138,7 +138,7 @@
         }
     }
 
-    void onOrdered(VmId vm, String source, long until) {
+    void onOrderSent(VmId vm, String source, long until) {
         Replica replica = mReplicas.get(vm);
         if (replica != null) {
             detach(replica);
@@ -152,7 +152,7 @@
     }
 
     /** Gives orders up whose answer has not come, and lets delayed endpoints be ordered again. */
-    void expire(long now) {
+    void processTimeouts(long now) {
         for (Replica replica : List.copyOf(mLoading.values())) {
             if (now - replica.mOrderedUntil >= 0) {
                 onFailed(replica.mVm, now);
@@ -173,12 +173,12 @@
     }
 
     /** Returns the endpoint with the oldest version that may be ordered, or null. */
-    @Nullable VmId nextBehind() {
+    @Nullable VmId nextOutdated() {
         return mBehind.isEmpty() ? null : mBehind.first().mVm;
     }
 
     /** Returns a VM to copy from, the store, or null while every source is busy. */
-    @Nullable String source() {
+    @Nullable String chooseSource() {
         if (!mSpareHolders.isEmpty()) {
             return mSpareHolders.iterator().next().value();
         }
@@ -227,7 +227,7 @@
         boolean spare =
                 holder != null
                         && holder.mVersion >= mLatest
-                        && mCopies.getOrDefault(source, 0) < WeightPlanner.MAX_COPIES;
+                        && mCopies.getOrDefault(source, 0) < WeightPlanner.MAX_COPIES_PER_SOURCE;
         if (spare) {
             mSpareHolders.add(vm);
         } else {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/PlannerOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/PlannerOutputs.java
@@ -7,10 +7,10 @@
 /** What the weight planner does to the world. Called on the duty's thread; must not block. */
 public interface PlannerOutputs extends LeaseOutputs {
     /** Orders an agent to load a version. Returns false if the order could not be sent. */
-    boolean order(VmId vm, WeightMessage.LoadOrder order);
+    boolean sendOrder(VmId vm, WeightMessage.LoadOrder order);
 
     /** Asks the weight store for the newest version; it comes back as an event. */
-    void askLatest(ServiceName service);
+    void requestLatestVersion(ServiceName service);
 
     /** Returns the store's address of a version. */
     String storeSource(ServiceName service, long version);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapMachine.java
@@ -37,18 +37,18 @@
     }
 
     /** Learns the newest fence from the key-value service. */
-    public void onFloor(long fence) {
+    public void onFenceFloor(long fence) {
         mFloorKnown = true;
         mFloor = Math.max(mFloor, fence);
     }
 
     /** Returns whether the fence floor is known. */
-    public boolean isFloorKnown() {
+    public boolean isFenceFloorKnown() {
         return mFloorKnown;
     }
 
     /** Returns the lowest fence that passes. */
-    public long floor() {
+    public long fenceFloor() {
         return mFloor;
     }
 
@@ -79,7 +79,7 @@
         mLoading = true;
         mLoadingVersion = order.version();
         mLink = link;
-        mOutputs.swapping(true);
+        mOutputs.setSwapping(true);
         mOutputs.load(order.version(), order.fence(), order.source());
     }
 
@@ -89,7 +89,7 @@
             return;
         }
         mLoading = false;
-        mOutputs.swapping(false);
+        mOutputs.setSwapping(false);
         mOutputs.send(mLink, new WeightMessage.LoadResult(version, fault.orElse(null)));
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapOutputs.java
@@ -9,5 +9,5 @@
     void load(long version, long fence, String source);
 
     /** Tells the attempt duty whether a swap is under way. */
-    void swapping(boolean swapping);
+    void setSwapping(boolean swapping);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
@@ -33,7 +33,7 @@
     public static final int MAX_STORE_FETCHES = 2;
 
     /** Greatest number of endpoints that copy from one endpoint at once. */
-    public static final int MAX_COPIES = 2;
+    public static final int MAX_COPIES_PER_SOURCE = 2;
 
     private static final long POLL_NANOS = Nanos.ofMillis(500);
     private static final long ORDER_NANOS = Nanos.ofMillis(30_000);
@@ -52,7 +52,7 @@
     private static final class Plan {
         private final ServiceName mService;
         private final Lease mLease;
-        private final RolloutPlan mRollout = new RolloutPlan();
+        private final EndpointTracker mRollout = new EndpointTracker();
         private long mNextPoll;
 
         Plan(ServiceName service, Lease lease) {
@@ -94,16 +94,17 @@
     }
 
     /** Handles the newest version in the store. */
-    public void onLatest(ServiceName service, long version, long now) {
+    public void onLatestVersion(ServiceName service, long version, long now) {
         Plan plan = mPlans.get(service);
         if (plan != null) {
-            plan.mRollout.onLatest(version);
+            plan.mRollout.onLatestVersion(version);
             order(plan, now);
         }
     }
 
     /** Handles the end of an order. */
-    public void onResult(VmId vm, ServiceName service, WeightMessage.LoadResult result, long now) {
+    public void onLoadResult(
+            VmId vm, ServiceName service, WeightMessage.LoadResult result, long now) {
         Plan plan = mPlans.get(service);
         if (plan == null || !plan.mRollout.isLoading(vm, result.version())) {
             return;
@@ -154,7 +155,7 @@
             plan.mLease.renewIfDue(now);
             if (plan.mLease.isHeld(now) && now - plan.mNextPoll >= 0) {
                 plan.mNextPoll = now + POLL_NANOS;
-                mOutputs.askLatest(plan.mService);
+                mOutputs.requestLatestVersion(plan.mService);
             }
             order(plan, now);
         }
@@ -169,8 +170,8 @@
                             plan.mService,
                             plan.mLease.isHeld(now),
                             plan.mLease.fence(),
-                            plan.mRollout.latest(),
-                            plan.mRollout.failures(),
+                            plan.mRollout.latestVersion(),
+                            plan.mRollout.failureCount(),
                             plan.mRollout.versions()));
         }
         return plans;
@@ -198,17 +199,17 @@
         if (!plan.mLease.isHeld(now)) {
             return;
         }
-        RolloutPlan rollout = plan.mRollout;
-        rollout.expire(now);
-        int allowed = Math.max(1, (int) (rollout.size() * MAX_SWAPPING_SHARE));
-        while (rollout.loading() < allowed) {
-            VmId vm = rollout.nextBehind();
-            String source = rollout.source();
+        EndpointTracker rollout = plan.mRollout;
+        rollout.processTimeouts(now);
+        int allowed = Math.max(1, (int) (rollout.endpointCount() * MAX_SWAPPING_SHARE));
+        while (rollout.loadingCount() < allowed) {
+            VmId vm = rollout.nextOutdated();
+            String source = rollout.chooseSource();
             if (vm == null || source == null) {
                 return;
             }
-            if (mOutputs.order(vm, loadOrder(plan, source))) {
-                rollout.onOrdered(vm, source, now + ORDER_NANOS);
+            if (mOutputs.sendOrder(vm, loadOrder(plan, source))) {
+                rollout.onOrderSent(vm, source, now + ORDER_NANOS);
             } else {
                 rollout.onFailed(vm, now + BACKOFF_NANOS);
             }
@@ -216,9 +217,9 @@
     }
 
     private WeightMessage.LoadOrder loadOrder(Plan plan, String from) {
-        long version = plan.mRollout.latest();
+        long version = plan.mRollout.latestVersion();
         String source =
-                from.equals(RolloutPlan.STORE)
+                from.equals(EndpointTracker.STORE)
                         ? mOutputs.storeSource(plan.mService, version)
                         : mOutputs.peerSource(VmId.of(from), plan.mService, version);
         return new WeightMessage.LoadOrder(version, plan.mLease.fence(), source);
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/CursorTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/CursorTest.java
@@ -19,14 +19,14 @@
         Cursor cursor = cursor(3, 0, 2);
         Cursor read = Cursor.decode(cursor.encode(), TRAINER, 7).orThrow();
         assertThat(read.slots(), is(cursor.slots()));
-        assertThat(read.total(), is(3));
+        assertThat(read.totalSlots(), is(3));
         assertThat(read.isComplete(), is(false));
-        assertThat(read.with(bits(1)).isComplete(), is(true));
+        assertThat(read.withSlots(bits(1)).isComplete(), is(true));
     }
 
     @Test
     void anEmptyTextIsAnEmptyCursor() {
-        assertThat(Cursor.decode("", TRAINER, 7).orThrow().count(), is(0));
+        assertThat(Cursor.decode("", TRAINER, 7).orThrow().slotCount(), is(0));
     }
 
     @Test
@@ -48,7 +48,7 @@
     }
 
     private static Cursor cursor(int total, int... slots) {
-        return Cursor.empty(TRAINER, 7, total).with(bits(slots));
+        return Cursor.empty(TRAINER, 7, total).withSlots(bits(slots));
     }
 
     private static BitSet bits(int... slots) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/FakeRolloutOutputs.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/FakeRolloutOutputs.java
@@ -14,53 +14,53 @@
 
 /** Records what the rollout duty does. Not thread safe; used by one test. */
 final class FakeRolloutOutputs implements RolloutOutputs {
-    final List<String> mAsked = new ArrayList<>();
-    final List<Work> mWorks = new ArrayList<>();
-    final List<Long> mCancelled = new ArrayList<>();
+    final List<String> mStoreRequests = new ArrayList<>();
+    final List<Work> mSubmittedWork = new ArrayList<>();
+    final List<Long> mCancelledWork = new ArrayList<>();
     final List<SampleKey> mFetches = new ArrayList<>();
     final List<AttemptMessage> mBroadcasts = new ArrayList<>();
-    final List<SampleKey> mReleased = new ArrayList<>();
+    final List<SampleKey> mReleasedSamples = new ArrayList<>();
     final Map<Long, StepReply> mReplies = new HashMap<>();
     final List<VmId> mForwardedTo = new ArrayList<>();
     private long mIds;
 
     @Override
     public void acquire(String key) {
-        mAsked.add("acquire " + key);
+        mStoreRequests.add("acquire " + key);
     }
 
     @Override
     public void renew(String key, long revision) {
-        mAsked.add("renew " + key);
+        mStoreRequests.add("renew " + key);
     }
 
     @Override
     public void storeManifest(StepManifest manifest) {
-        mAsked.add("store " + manifest.step());
+        mStoreRequests.add("store " + manifest.step());
     }
 
     @Override
     public void loadManifest(TrainerId trainer, long step) {
-        mAsked.add("load " + step);
+        mStoreRequests.add("load " + step);
     }
 
     @Override
     public void deleteManifest(TrainerId trainer, long step, int slots) {
-        mAsked.add("delete " + step);
+        mStoreRequests.add("delete " + step);
     }
 
     @Override
     public void submit(Work work) {
-        mWorks.add(work);
+        mSubmittedWork.add(work);
     }
 
     @Override
     public void cancel(long workId) {
-        mCancelled.add(workId);
+        mCancelledWork.add(workId);
     }
 
     @Override
-    public void abandon(long workId) {}
+    public void detach(long workId) {}
 
     @Override
     public void setMinVersion(TrainerId trainer, long version) {}
@@ -70,7 +70,7 @@
         if (message instanceof AttemptMessage.FetchSample fetch) {
             mFetches.add(fetch.key());
         } else if (message instanceof AttemptMessage.ReleaseSamples release) {
-            mReleased.addAll(release.keys());
+            mReleasedSamples.addAll(release.keys());
         }
         return true;
     }
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void score(ServiceName scorer, SampleKey key, byte[] content) {}
+    public void startScoring(ServiceName scorer, SampleKey key, byte[] content) {}
 
     @Override
     public void forward(LeaseHolder owner, long requestId, StepRequest request) {
@@ -94,10 +94,10 @@
     }
 
     @Override
-    public void idle(TrainerId trainer, long nanos) {}
+    public void recordTrainerIdleTime(TrainerId trainer, long nanos) {}
 
     @Override
-    public void delivered(TrainerId trainer, long age) {}
+    public void recordDeliveredSample(TrainerId trainer, long age) {}
 
     @Override
     public long nextWorkId() {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/RolloutMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/RolloutMachineTest.java
@@ -41,7 +41,7 @@
 
     private final FakeRolloutOutputs mOut = new FakeRolloutOutputs();
     private final RolloutMachine mMachine =
-            RolloutMachine.create(SELF, group -> new byte[0], StragglerPolicy.tail(), mOut);
+            RolloutMachine.create(SELF, group -> new byte[0], StragglerPolicy.hedgeTail(), mOut);
     private long mRequests;
 
     @BeforeEach
@@ -65,11 +65,11 @@
         long request = submit("p");
         own();
         mMachine.onManifestLoaded(TRAINER, 1, null, Optional.empty(), 0);
-        assertThat(mOut.mAsked, hasItem("store 1"));
+        assertThat(mOut.mStoreRequests, hasItem("store 1"));
         assertThat(mOut.mReplies.get(request) == null, is(true));
         mMachine.onManifestStored(manifest("p"), Optional.empty(), 0);
         assertThat(requireNonNull(mOut.mReplies.get(request)).fault() == null, is(true));
-        assertThat(mOut.mWorks, hasSize(2));
+        assertThat(mOut.mSubmittedWork, hasSize(2));
     }
 
     @Test
@@ -79,7 +79,7 @@
         long different = submit("q");
         assertThat(reply(same).fault() == null, is(true));
         assertThat(requireNonNull(reply(different).fault()).code(), is(FaultCode.CONFLICT));
-        assertThat(mOut.mWorks, hasSize(2));
+        assertThat(mOut.mSubmittedWork, hasSize(2));
     }
 
     @Test
@@ -94,7 +94,7 @@
         assertThat(second.samples(), hasSize(1));
         assertThat(second.samples().get(0).slot(), is(1));
         assertThat(pull(second.cursor(), 5).complete(), is(true));
-        assertThat(mOut.mReleased, contains(key(0), key(1)));
+        assertThat(mOut.mReleasedSamples, contains(key(0), key(1)));
     }
 
     @Test
@@ -102,7 +102,7 @@
         start();
         finish(VM, 0, 5);
         pull("", 5);
-        assertThat(mOut.mReleased, empty());
+        assertThat(mOut.mReleasedSamples, empty());
     }
 
     @Test
@@ -111,8 +111,8 @@
         finish(VM, 0, 5);
         long request = openPull("", 5 + BOUND + 1, 0);
         assertThat(mOut.mReplies.get(request) == null, is(true));
-        assertThat(mOut.mReleased, contains(key(0)));
-        assertThat(mOut.mWorks, hasSize(3));
+        assertThat(mOut.mReleasedSamples, contains(key(0)));
+        assertThat(mOut.mSubmittedWork, hasSize(3));
     }
 
     @Test
@@ -139,8 +139,8 @@
         start();
         finish(VM, 0, 5);
         finish(OTHER_VM, 0, 5);
-        assertThat(mOut.mReleased, contains(key(0)));
-        assertThat(mOut.mCancelled, contains(mOut.mWorks.get(0).id()));
+        assertThat(mOut.mReleasedSamples, contains(key(0)));
+        assertThat(mOut.mCancelledWork, contains(mOut.mSubmittedWork.get(0).id()));
     }
 
     @Test
@@ -148,8 +148,8 @@
         takeOver();
         held(VM, List.of(0), List.of());
         mMachine.onTick(Nanos.ofMillis(600));
-        assertThat(mOut.mWorks, hasSize(1));
-        assertThat(requireNonNull(mOut.mWorks.get(0).sample()).slot(), is(1));
+        assertThat(mOut.mSubmittedWork, hasSize(1));
+        assertThat(requireNonNull(mOut.mSubmittedWork.get(0).sample()).slot(), is(1));
     }
 
     @Test
@@ -157,12 +157,12 @@
         takeOver();
         held(VM, List.of(0), List.of(1));
         mMachine.onTick(Nanos.ofMillis(60_000));
-        assertThat(mOut.mWorks, empty());
+        assertThat(mOut.mSubmittedWork, empty());
         mMachine.onAgentLost(VM, Nanos.ofMillis(60_000));
         mMachine.onTick(Nanos.ofMillis(62_999));
-        assertThat(mOut.mWorks, empty());
+        assertThat(mOut.mSubmittedWork, empty());
         mMachine.onTick(Nanos.ofMillis(63_000));
-        assertThat(mOut.mWorks, hasSize(2));
+        assertThat(mOut.mSubmittedWork, hasSize(2));
     }
 
     @Test
@@ -237,7 +237,7 @@
     }
 
     private void finish(VmId vm, int slot, long version) {
-        mMachine.onFinished(vm, key(slot), info(version), 0);
+        mMachine.onSampleFinished(vm, key(slot), info(version), 0);
     }
 
     private void held(VmId vm, List<Integer> held, List<Integer> running) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/SwapMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/SwapMachineTest.java
@@ -31,7 +31,7 @@
                         }
 
                         @Override
-                        public void swapping(boolean swapping) {}
+                        public void setSwapping(boolean swapping) {}
                     });
 
     @Test
@@ -43,7 +43,7 @@
 
     @Test
     void refusesAnOrderBelowTheFloor() {
-        mMachine.onFloor(6);
+        mMachine.onFenceFloor(6);
         order(2, 5);
         assertThat(mLoads, empty());
         assertThat(lastCode(), is(FaultCode.FENCED));
@@ -51,18 +51,18 @@
 
     @Test
     void theFloorRisesWithEachOrderAndNeverFalls() {
-        mMachine.onFloor(1);
+        mMachine.onFenceFloor(1);
         order(2, 5);
         mMachine.onLoaded(2, Optional.empty());
-        mMachine.onFloor(3);
+        mMachine.onFenceFloor(3);
         order(3, 4);
         assertThat(mLoads, contains(2L));
-        assertThat(mMachine.floor(), is(5L));
+        assertThat(mMachine.fenceFloor(), is(5L));
     }
 
     @Test
     void runsOneOrderAtATime() {
-        mMachine.onFloor(0);
+        mMachine.onFenceFloor(0);
         order(2, 5);
         order(3, 5);
         assertThat(lastCode(), is(FaultCode.CONFLICT));
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/WeightPlannerTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/WeightPlannerTest.java
@@ -29,14 +29,14 @@
                     SELF,
                     new PlannerOutputs() {
                         @Override
-                        public boolean order(VmId vm, WeightMessage.LoadOrder order) {
+                        public boolean sendOrder(VmId vm, WeightMessage.LoadOrder order) {
                             mOrdered.add(vm);
                             mSources.add(order.source());
                             return true;
                         }
 
                         @Override
-                        public void askLatest(ServiceName service) {}
+                        public void requestLatestVersion(ServiceName service) {}
 
                         @Override
                         public String storeSource(ServiceName service, long version) {
@@ -65,18 +65,18 @@
 
     @Test
     void ordersNothingWithoutTheLease() {
-        mPlanner.onLatest(SERVICE, 2, 0);
+        mPlanner.onLatestVersion(SERVICE, 2, 0);
         assertThat(mOrdered, empty());
     }
 
     @Test
     void fetchesFromTheStoreByFewAndCopiesForTheRest() {
         hold();
-        mPlanner.onLatest(SERVICE, 2, 0);
+        mPlanner.onLatestVersion(SERVICE, 2, 0);
         assertThat(mSources, is(List.of("store", "store")));
         for (int done = 0; done < REPLICAS; done++) {
             VmId vm = mOrdered.get(done);
-            mPlanner.onResult(vm, SERVICE, new WeightMessage.LoadResult(2, null), done);
+            mPlanner.onLoadResult(vm, SERVICE, new WeightMessage.LoadResult(2, null), done);
             int swapping = mOrdered.size() - done - 1;
             assertThat(swapping <= REPLICAS * WeightPlanner.MAX_SWAPPING_SHARE, is(true));
         }
@@ -88,15 +88,15 @@
     @Test
     void ordersAgainAfterAFailure() {
         hold();
-        mPlanner.onLatest(SERVICE, 2, 0);
+        mPlanner.onLatestVersion(SERVICE, 2, 0);
         VmId first = mOrdered.get(0);
         Fault fault = Fault.failed(FaultCode.ENDPOINT_ERROR, "engine.load", "vm", "disk");
-        mPlanner.onResult(first, SERVICE, new WeightMessage.LoadResult(2, fault), 1);
+        mPlanner.onLoadResult(first, SERVICE, new WeightMessage.LoadResult(2, fault), 1);
         long before = mOrdered.stream().filter(first::equals).count();
         assertThat(before, is(1L));
         mPlanner.onTick(Nanos.ofMillis(2_000));
         VmId second = mOrdered.get(1);
-        mPlanner.onResult(
+        mPlanner.onLoadResult(
                 second, SERVICE, new WeightMessage.LoadResult(2, null), Nanos.ofMillis(2_050));
         mPlanner.onTick(Nanos.ofMillis(2_100));
         assertThat(mOrdered.stream().filter(first::equals).count(), is(2L));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/AgentNode.java
@@ -180,7 +180,7 @@
         MonotonicClock clock = MonotonicClock.system();
         return mAttemptLoop
                 .query(() -> mAttempts.dump(clock.nanoTime()))
-                .thenCombine(mSwapLoop.query(mSwap::floor), this::dump);
+                .thenCombine(mSwapLoop.query(mSwap::fenceFloor), this::dump);
     }
 
     @Override
@@ -275,7 +275,7 @@
                                 result.fold(
                                         fence -> {
                                             mSwapLoop.post(
-                                                    (machine, now) -> machine.onFloor(fence));
+                                                    (machine, now) -> machine.onFenceFloor(fence));
                                             return true;
                                         },
                                         fault -> {
@@ -402,7 +402,7 @@
         }
 
         @Override
-        public void swapping(boolean swapping) {
+        public void setSwapping(boolean swapping) {
             mAttemptLoop.post((machine, now) -> machine.onSwapping(swapping, now));
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
@@ -52,7 +52,7 @@
 
     @Override
     public void onUntrackedSampleFinished(VmId vm, SampleKey key, SampleInfo info) {
-        mContext.mRolloutLoop.post((machine, now) -> machine.onFinished(vm, key, info, now));
+        mContext.mRolloutLoop.post((machine, now) -> machine.onSampleFinished(vm, key, info, now));
     }
 
     @Override
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryContext.java
@@ -132,7 +132,7 @@
                 RolloutMachine.create(
                         self,
                         CompletionsCodec::encodeSampleRequest,
-                        StragglerPolicy.tail(),
+                        StragglerPolicy.hedgeTail(),
                         new RolloutOutputHandler(this));
         mConfig = ConfigMachine.create(new ConfigOutputHandler(this));
         mMembership =
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryPeerListener.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryPeerListener.java
@@ -58,7 +58,7 @@
         } else if (message instanceof WeightMessage.LoadResult result) {
             ServiceName service = ServiceName.of(hello(peer).service());
             mContext.mPlannerLoop.post(
-                    (machine, now) -> machine.onResult(vm, service, result, now));
+                    (machine, now) -> machine.onLoadResult(vm, service, result, now));
         } else if (message instanceof RolloutMessage.Forward forward) {
             mContext.mPendingStepRequests.beginForwarded(peer, forward);
         } else if (message instanceof RolloutMessage.Forwarded forwarded) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerOutputHandler.java
@@ -31,13 +31,13 @@
     }
 
     @Override
-    public boolean order(VmId vm, WeightMessage.LoadOrder order) {
+    public boolean sendOrder(VmId vm, WeightMessage.LoadOrder order) {
         PeerLink peer = mContext.mPeersByVm.get(vm);
         return peer != null && peer.link().send(order);
     }
 
     @Override
-    public void askLatest(ServiceName service) {
+    public void requestLatestVersion(ServiceName service) {
         mContext.mWeightStore
                 .latestVersion(service)
                 .thenAccept(
@@ -46,7 +46,7 @@
                                         version -> {
                                             mContext.mPlannerLoop.post(
                                                     (machine, now) ->
-                                                            machine.onLatest(
+                                                            machine.onLatestVersion(
                                                                     service, version, now));
                                             return version;
                                         }));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void abandon(long workId) {
+    public void detach(long workId) {
         mContext.mDispatchLoop.post((machine, now) -> machine.detach(workId));
     }
 
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void score(ServiceName scorer, SampleKey key, byte[] content) {
+    public void startScoring(ServiceName scorer, SampleKey key, byte[] content) {
         long now = System.nanoTime();
         long id = nextWorkId();
         Work work =
@@ -159,12 +159,12 @@
     }
 
     @Override
-    public void idle(TrainerId trainer, long nanos) {
+    public void recordTrainerIdleTime(TrainerId trainer, long nanos) {
         mContext.mMetrics.recordTrainerIdleTime(trainer.value(), (double) nanos / Nanos.PER_SECOND);
     }
 
     @Override
-    public void delivered(TrainerId trainer, long age) {
+    public void recordDeliveredSample(TrainerId trainer, long age) {
         mContext.mMetrics.recordDeliveredSample(trainer.value(), age);
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Policies.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Policies.java
@@ -27,11 +27,11 @@
         AttemptPolicy noLaxity = new AttemptPolicy(QueueOrder.fifo(), standard.admission(), true);
         return List.of(
                 PolicyChoice.standard(),
-                ours("without call reserve", noReserve, StragglerPolicy.tail(), 0),
-                ours("without early refusal", noRefusal, StragglerPolicy.tail(), 0),
-                ours("without least laxity", noLaxity, StragglerPolicy.tail(), 0),
-                ours("without second attempts", standard, StragglerPolicy.never(), 0),
-                ours("with prefix affinity", standard, StragglerPolicy.tail(), 2));
+                ours("without call reserve", noReserve, StragglerPolicy.hedgeTail(), 0),
+                ours("without early refusal", noRefusal, StragglerPolicy.hedgeTail(), 0),
+                ours("without least laxity", noLaxity, StragglerPolicy.hedgeTail(), 0),
+                ours("without second attempts", standard, StragglerPolicy.neverHedge(), 0),
+                ours("with prefix affinity", standard, StragglerPolicy.hedgeTail(), 2));
     }
 
     private static PolicyChoice ours(
@@ -45,7 +45,7 @@
                 "arrival, round robin",
                 new AttemptPolicy(QueueOrder.fifo(), SampleAdmission::freeSlots, false),
                 domain -> new RoundRobinChooser(),
-                StragglerPolicy.never());
+                StragglerPolicy.neverHedge());
     }
 
     private static PolicyChoice staticPriority() {
@@ -53,7 +53,7 @@
                 "static priority, least load",
                 new AttemptPolicy(QueueOrder.callsFirst(), SampleAdmission::freeSlots, false),
                 domain -> LeastLoadChooser.withSlack(domain, 0),
-                StragglerPolicy.never());
+                StragglerPolicy.neverHedge());
     }
 
     private static PolicyChoice tokenCounter() {
@@ -61,6 +61,6 @@
                 "token counter",
                 new AttemptPolicy(QueueOrder.fifo(), SampleAdmission::tokenCounter, false),
                 domain -> LeastLoadChooser.withSlack(domain, 0),
-                StragglerPolicy.never());
+                StragglerPolicy.neverHedge());
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/PolicyChoice.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/PolicyChoice.java
@@ -26,6 +26,6 @@
                 "ebonyrun",
                 AttemptPolicy.standard(),
                 LeastLoadChooser::create,
-                StragglerPolicy.tail());
+                StragglerPolicy.hedgeTail());
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
@@ -186,7 +186,7 @@
                         result ->
                                 result.fold(
                                         fence -> {
-                                            swap.onFloor(fence);
+                                            swap.onFenceFloor(fence);
                                             return true;
                                         },
                                         fault -> {
@@ -280,7 +280,7 @@
         }
 
         @Override
-        public void swapping(boolean swapping) {
+        public void setSwapping(boolean swapping) {
             post(() -> mAttempts.onSwapping(swapping, now()));
         }
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDispatch.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDispatch.java
@@ -41,7 +41,7 @@
 
     @Override
     public void onUntrackedSampleFinished(VmId vm, SampleKey key, SampleInfo info) {
-        mEntry.post(() -> mEntry.mRollout.onFinished(vm, key, info, mEntry.now()));
+        mEntry.post(() -> mEntry.mRollout.onSampleFinished(vm, key, info, mEntry.now()));
     }
 
     @Override
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
@@ -246,7 +246,7 @@
         } else if (message instanceof ConfigMessage config) {
             mConfig.onMessage(link.mNumber, config);
         } else if (message instanceof WeightMessage.LoadResult result) {
-            mPlanner.onResult(vm, link.mAgent.mService, result, now());
+            mPlanner.onLoadResult(vm, link.mAgent.mService, result, now());
         }
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualPlanner.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualPlanner.java
@@ -28,17 +28,17 @@
     }
 
     @Override
-    public boolean order(VmId vm, WeightMessage.LoadOrder order) {
+    public boolean sendOrder(VmId vm, WeightMessage.LoadOrder order) {
         VirtualLink link = mEntry.mByVm.get(vm);
         return link != null && link.sendToAgent(order);
     }
 
     @Override
-    public void askLatest(ServiceName service) {
+    public void requestLatestVersion(ServiceName service) {
         mEntry.after(
                 Nanos.ofMillis(2),
                 () ->
-                        mEntry.mPlanner.onLatest(
+                        mEntry.mPlanner.onLatestVersion(
                                 service, mEntry.mWorld.latest(service), mEntry.now()));
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRollout.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRollout.java
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void abandon(long workId) {
+    public void detach(long workId) {
         mEntry.post(() -> mEntry.mDispatcher.detach(workId));
     }
 
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void score(ServiceName scorer, SampleKey key, byte[] content) {
+    public void startScoring(ServiceName scorer, SampleKey key, byte[] content) {
         mEntry.post(() -> mEntry.mRollout.onScored(key, "1", mEntry.now()));
     }
 
@@ -143,10 +143,10 @@
     }
 
     @Override
-    public void idle(TrainerId trainer, long nanos) {}
+    public void recordTrainerIdleTime(TrainerId trainer, long nanos) {}
 
     @Override
-    public void delivered(TrainerId trainer, long age) {}
+    public void recordDeliveredSample(TrainerId trainer, long age) {}
 
     @Override
     public long nextWorkId() {
