--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/BenchMain.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/BenchMain.java
@@ -33,14 +33,17 @@
 
     private static void entry() throws IOException, InterruptedException {
         System.out.println("| agents | calls/s | cpu | link bytes/s | heap MB |");
-        List<EntryBench.Reading> idle = EntryBench.sweep(AGENTS, false);
-        print("cpu in cores, idle, by agents", idle, r -> new Fit.Point(r.agents(), r.cpuShare()));
+        List<EntryBench.Measurement> idle = EntryBench.sweep(AGENTS, false);
+        print(
+                "cpu in cores, idle, by agents",
+                idle,
+                r -> new LinearFit.Point(r.agents(), r.cpuShare()));
         print(
                 "link bytes/s, idle, by agents",
                 idle,
-                r -> new Fit.Point(r.agents(), r.bytesPerSecond()));
-        print("heap bytes by agents", idle, r -> new Fit.Point(r.agents(), r.heapBytes()));
-        for (EntryBench.Reading reading : EntryBench.sweep(LOADED, true)) {
+                r -> new LinearFit.Point(r.agents(), r.bytesPerSecond()));
+        print("heap bytes by agents", idle, r -> new LinearFit.Point(r.agents(), r.heapBytes()));
+        for (EntryBench.Measurement reading : EntryBench.sweep(LOADED, true)) {
             System.out.printf(
                     "cpu per call with %d agents: %.1f us%n",
                     reading.agents(), reading.cpuShare() / reading.callsPerSecond() * 1e6);
@@ -49,9 +52,9 @@
 
     private static void print(
             String what,
-            List<EntryBench.Reading> readings,
-            Function<EntryBench.Reading, Fit.Point> point) {
-        System.out.println(what + ": " + Fit.of(readings.stream().map(point).toList()));
+            List<EntryBench.Measurement> readings,
+            Function<EntryBench.Measurement, LinearFit.Point> point) {
+        System.out.println(what + ": " + LinearFit.of(readings.stream().map(point).toList()));
     }
 
     private static void decisions() throws RunnerException {
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EmulatedAgents.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EmulatedAgents.java
@@ -54,7 +54,7 @@
         return mPort;
     }
 
-    int connected() {
+    int connectedCount() {
         return mLinks.size();
     }
 
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EntryBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EntryBench.java
@@ -52,7 +52,7 @@
      * @param bytesPerSecond bytes on the entry's links, both ways
      * @param heapBytes live heap of the process after a collection
      */
-    record Reading(
+    record Measurement(
             int agents,
             double callsPerSecond,
             double cpuShare,
@@ -72,7 +72,7 @@
     }
 
     /** Measures an entry with the given number of agents, under load or idle. */
-    static Reading run(int agents, boolean load) throws IOException, InterruptedException {
+    static Measurement run(int agents, boolean load) throws IOException, InterruptedException {
         try (StandinPlatform platform = StandinPlatform.start(HOST, 0);
                 EmulatedAgents emulated = new EmulatedAgents(agents);
                 AsyncHttpClient caller = AsyncHttpClient.start()) {
@@ -93,7 +93,7 @@
                                     .entry("entry", EmulatedAgents.domain(0)))) {
                 URI address = URI.create("http://" + HOST + ":" + entry.httpPort());
                 apply(caller, address);
-                while (emulated.connected() < agents) {
+                while (emulated.connectedCount() < agents) {
                     TimeUnit.MILLISECONDS.sleep(50);
                 }
                 return measure(entry, caller, address, agents, load);
@@ -101,7 +101,7 @@
         }
     }
 
-    private static Reading measure(
+    private static Measurement measure(
             EntryNode entry, AsyncHttpClient caller, URI address, int agents, boolean load)
             throws InterruptedException {
         Semaphore open = new Semaphore(OPEN_CALLS);
@@ -118,7 +118,7 @@
         System.gc();
         Runtime runtime = Runtime.getRuntime();
         long heap = runtime.totalMemory() - runtime.freeMemory();
-        return new Reading(agents, (answered[0] - before) / seconds, cpuShare, byteRate, heap);
+        return new Measurement(agents, (answered[0] - before) / seconds, cpuShare, byteRate, heap);
     }
 
     private static void offer(
@@ -176,11 +176,11 @@
     }
 
     /** Returns the readings for several numbers of agents. */
-    static List<Reading> sweep(int[] agents, boolean load)
+    static List<Measurement> sweep(int[] agents, boolean load)
             throws IOException, InterruptedException {
-        List<Reading> readings = new ArrayList<>();
+        List<Measurement> readings = new ArrayList<>();
         for (int count : agents) {
-            Reading reading = run(count, load);
+            Measurement reading = run(count, load);
             System.out.println(reading);
             readings.add(reading);
         }
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/Fit.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/LinearFit.java
@@ -12,12 +12,12 @@
  * @param slope the growth for each unit
  * @param slopeError the standard error of the slope
  */
-public record Fit(double intercept, double slope, double slopeError) {
+public record LinearFit(double intercept, double slope, double slopeError) {
     /** One measured point. */
     public record Point(double x, double y) {}
 
     /** Fits a line through at least three points. */
-    public static Fit of(List<Point> points) {
+    public static LinearFit of(List<Point> points) {
         int n = points.size();
         checkArgument(n >= 3, "a fit needs three points: %s", n);
         double meanX = points.stream().mapToDouble(Point::x).average().orElse(0);
@@ -30,7 +30,7 @@
                 points.stream()
                         .mapToDouble(p -> Math.pow(p.y() - intercept - slope * p.x(), 2))
                         .sum();
-        return new Fit(intercept, slope, Math.sqrt(residual / (n - 2) / sxx));
+        return new LinearFit(intercept, slope, Math.sqrt(residual / (n - 2) / sxx));
     }
 
     @Override
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/AdminCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/AdminCommand.java
@@ -41,13 +41,14 @@
                         .help(mHelp)
                         .epilog("example: ebonyrun " + mName + " --at http://10.0.0.5:8081");
         parser.setDefault("command", this);
-        Remote.register(parser);
+        RemoteProcess.addOptions(parser);
     }
 
     @Override
     public int run(Namespace options) throws IOException {
-        try (Remote remote = Remote.open(options)) {
-            return Remote.printRaw(remote.ask(mMethod, mPath, new byte[0]), System.out);
+        try (RemoteProcess remote = RemoteProcess.open(options)) {
+            return RemoteProcess.printResponse(
+                    remote.send(mMethod, mPath, new byte[0]), System.out);
         }
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/CallCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/CallCommand.java
@@ -32,7 +32,7 @@
                 .help("the call must run at most once");
         parser.addArgument("--key").help("key under which a non-idempotent call runs at most once");
         parser.addArgument("--path").help("path at a plain service; default /");
-        Remote.register(parser);
+        RemoteProcess.addOptions(parser);
     }
 
     @Override
@@ -49,14 +49,15 @@
             headers.put("Ebonyrun-Path", options.getString("path"));
         }
         String path = "/v1/calls/" + options.getString("class");
-        try (Remote remote = Remote.open(options)) {
-            return Remote.printRaw(
-                    remote.ask("POST", path, headers, body(options.getString("body"))), System.out);
+        try (RemoteProcess remote = RemoteProcess.open(options)) {
+            return RemoteProcess.printResponse(
+                    remote.send("POST", path, headers, readBody(options.getString("body"))),
+                    System.out);
         }
     }
 
     /** Returns a body given on the command line, or the content of the file that it names. */
-    static byte[] body(String text) throws IOException {
+    static byte[] readBody(String text) throws IOException {
         return text.startsWith("@")
                 ? Files.readAllBytes(Path.of(text.substring(1)))
                 : text.getBytes(StandardCharsets.UTF_8);
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ConfigCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ConfigCommand.java
@@ -42,14 +42,14 @@
         apply.addArgument("--expect")
                 .type(Long.class)
                 .help("version that must be in force; default: the one that is");
-        Remote.register(apply);
+        RemoteProcess.addOptions(apply);
         Subparser get = action(actions, "get", "show the configuration in force");
         get.epilog("example: ebonyrun config get --at http://10.0.0.4:8080");
-        Remote.register(get);
+        RemoteProcess.addOptions(get);
         Subparser history = action(actions, "history", "list earlier versions");
         history.epilog("example: ebonyrun config history --last 5");
         history.addArgument("--last").type(Integer.class).setDefault(DEFAULT_HISTORY);
-        Remote.register(history);
+        RemoteProcess.addOptions(history);
     }
 
     @Override
@@ -86,12 +86,12 @@
         }
         byte[] text = Files.readAllBytes(Path.of(file));
         String nonce = HexFormat.of().toHexDigits(new SecureRandom().nextLong());
-        try (Remote remote = Remote.open(options)) {
+        try (RemoteProcess remote = RemoteProcess.open(options)) {
             Long expect = options.getLong("expect");
             if (expect == null) {
-                Result<HttpResponse> current = remote.ask("GET", PATH, new byte[0]);
+                Result<HttpResponse> current = remote.send("GET", PATH, new byte[0]);
                 if (!isSuccess(current)) {
-                    return Remote.printRaw(current, System.out);
+                    return RemoteProcess.printResponse(current, System.out);
                 }
                 expect = Json.tree(current.orThrow().body()).path("version").asLong();
             }
@@ -101,15 +101,15 @@
 
     /** Repeats the same change, which its nonce marks, until its outcome is known. */
     private static int apply(
-            Remote remote, Namespace options, long expect, byte[] text, String nonce) {
+            RemoteProcess remote, Namespace options, long expect, byte[] text, String nonce) {
         String author = URLEncoder.encode(options.getString("author"), StandardCharsets.UTF_8);
         String path = PATH + "?author=" + author + "&expect=" + expect + "&nonce=" + nonce;
-        Result<HttpResponse> answer = remote.ask("PUT", path, text);
+        Result<HttpResponse> answer = remote.send("PUT", path, text);
         for (int i = 1; i < MAX_TRIES && isUnknown(answer); i++) {
-            answer = remote.ask("PUT", path, text);
+            answer = remote.send("PUT", path, text);
         }
         if (!isSuccess(answer) || options.getBoolean("json")) {
-            return Remote.printRaw(answer, System.out);
+            return RemoteProcess.printResponse(answer, System.out);
         }
         JsonNode config = Json.tree(answer.orThrow().body());
         System.out.println("version " + config.path("version").asLong() + " accepted");
@@ -117,10 +117,10 @@
     }
 
     private static int get(Namespace options) throws IOException {
-        try (Remote remote = Remote.open(options)) {
-            Result<HttpResponse> answer = remote.ask("GET", PATH, new byte[0]);
+        try (RemoteProcess remote = RemoteProcess.open(options)) {
+            Result<HttpResponse> answer = remote.send("GET", PATH, new byte[0]);
             if (!isSuccess(answer) || options.getBoolean("json")) {
-                return Remote.printRaw(answer, System.out);
+                return RemoteProcess.printResponse(answer, System.out);
             }
             JsonNode config = Json.tree(answer.orThrow().body());
             System.out.println(
@@ -134,22 +134,22 @@
     }
 
     private static int history(Namespace options) throws IOException {
-        try (Remote remote = Remote.open(options)) {
-            Result<HttpResponse> answer = remote.ask("GET", PATH, new byte[0]);
+        try (RemoteProcess remote = RemoteProcess.open(options)) {
+            Result<HttpResponse> answer = remote.send("GET", PATH, new byte[0]);
             if (!isSuccess(answer)) {
-                return Remote.printRaw(answer, System.out);
+                return RemoteProcess.printResponse(answer, System.out);
             }
             long newest = Json.tree(answer.orThrow().body()).path("version").asLong();
             long oldest = Math.max(1, newest - options.getInt("last") + 1);
-            Table table = Table.of("VERSION", "AUTHOR", "BYTES");
+            Table table = Table.withHeading("VERSION", "AUTHOR", "BYTES");
             for (long version = newest; version >= oldest; version--) {
-                Result<HttpResponse> entry = remote.ask("GET", PATH + "/" + version, new byte[0]);
+                Result<HttpResponse> entry = remote.send("GET", PATH + "/" + version, new byte[0]);
                 if (options.getBoolean("json")) {
-                    Remote.printRaw(entry, System.out);
+                    RemoteProcess.printResponse(entry, System.out);
                 } else if (isSuccess(entry)) {
                     JsonNode config = Json.tree(entry.orThrow().body());
                     int bytes = config.path("text").asText().length();
-                    table.row(version, config.path("author").asText(), bytes);
+                    table.addRow(version, config.path("author").asText(), bytes);
                 }
             }
             if (!options.getBoolean("json")) {
@@ -165,7 +165,7 @@
 
     private static boolean isUnknown(Result<HttpResponse> result) {
         return result.fold(
-                reply -> Remote.status(reply) == ExitStatus.UNKNOWN,
+                reply -> RemoteProcess.exitStatus(reply) == ExitStatus.UNKNOWN,
                 fault -> fault.outcome() == Outcome.UNKNOWN);
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ExplainCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ExplainCommand.java
@@ -13,10 +13,10 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
-import org.ebonyrun.client.explain.CallStory;
+import org.ebonyrun.client.explain.CallSummary;
+import org.ebonyrun.client.explain.LogAnalysis;
 import org.ebonyrun.client.explain.LogEvent;
-import org.ebonyrun.client.explain.LogStory;
-import org.ebonyrun.client.explain.StepStory;
+import org.ebonyrun.client.explain.StepSummary;
 
 /** Tells from the logs of entries what trainers and callers waited for. Stateless. */
 public final class ExplainCommand implements Command {
@@ -58,13 +58,13 @@
             System.err.println("no log line of an entry in " + options.getList("log"));
             return ExitStatus.FAILED;
         }
-        System.out.print(text(LogStory.of(events), options.getLong("late_ms")));
+        System.out.print(formatReport(LogAnalysis.of(events), options.getLong("late_ms")));
         return ExitStatus.OK;
     }
 
     /** Returns the page that the command prints; times are in seconds after the first line. */
-    static String text(LogStory story, long lateMillis) {
-        List<Long> gap = story.longestWithoutOrder();
+    static String formatReport(LogAnalysis story, long lateMillis) {
+        List<Long> gap = story.longestOrderGap();
         return steps(story)
                 + "\nlongest time without an order: "
                 + seconds(story, gap.get(0))
@@ -74,9 +74,9 @@
                 + calls(story, lateMillis);
     }
 
-    private static String steps(LogStory story) {
+    private static String steps(LogAnalysis story) {
         Table table =
-                Table.of(
+                Table.withHeading(
                         "trainer",
                         "step",
                         "samples",
@@ -90,38 +90,38 @@
                         "owners",
                         "unsent",
                         "other runs");
-        for (StepStory step : story.steps()) {
-            OptionalLong named = story.named(step.model(), step.number());
-            table.row(
+        for (StepSummary step : story.steps()) {
+            OptionalLong named = story.versionNamedAt(step.model(), step.number());
+            table.addRow(
                     step.model(),
                     step.number(),
-                    step.samples(),
+                    step.sampleCount(),
                     seconds(story, named),
-                    seconds(story, step.askedAt()),
+                    seconds(story, step.acceptedAt()),
                     isAtOnce(step, named) ? "its version" : "its time",
-                    seconds(story, step.wholeAt(HALF)),
-                    seconds(story, step.wholeAt(MOST)),
-                    seconds(story, step.wholeAt(ALL)),
+                    seconds(story, step.completedAt(HALF)),
+                    seconds(story, step.completedAt(MOST)),
+                    seconds(story, step.completedAt(ALL)),
                     seconds(story, step.endedAt()),
-                    step.owners(),
-                    step.unsent(),
+                    step.ownerCount(),
+                    step.unsentSamples(),
                     step.failedRuns());
         }
         return table.toString();
     }
 
-    private static boolean isAtOnce(StepStory step, OptionalLong named) {
-        return named.isPresent() && step.askedAt() - named.getAsLong() < AT_ONCE_MILLIS;
+    private static boolean isAtOnce(StepSummary step, OptionalLong named) {
+        return named.isPresent() && step.acceptedAt() - named.getAsLong() < AT_ONCE_MILLIS;
     }
 
-    private static String calls(LogStory story, long lateMillis) {
-        Table table = Table.of("call", "sent", "ms", "attempts", "failure");
-        for (CallStory call : story.lateOrFailed(lateMillis)) {
-            table.row(
-                    call.request(),
+    private static String calls(LogAnalysis story, long lateMillis) {
+        Table table = Table.withHeading("call", "sent", "ms", "attempts", "failure");
+        for (CallSummary call : story.lateOrFailedCalls(lateMillis)) {
+            table.addRow(
+                    call.requestId(),
                     seconds(story, call.sentAt()),
-                    call.millis(),
-                    String.join(" ", call.attempts()),
+                    call.durationMillis(),
+                    String.join(" ", call.attemptOutcomes()),
                     call.failure());
         }
         return table.hasRows()
@@ -129,11 +129,11 @@
                 : "no call failed or took longer than " + lateMillis + " ms\n";
     }
 
-    private static String seconds(LogStory story, OptionalLong at) {
+    private static String seconds(LogAnalysis story, OptionalLong at) {
         return at.isPresent() ? seconds(story, at.getAsLong()) : "-";
     }
 
-    private static String seconds(LogStory story, long at) {
-        return String.format(Locale.ROOT, "%.2f", (at - story.begin()) / MILLIS_PER_SECOND);
+    private static String seconds(LogAnalysis story, long at) {
+        return String.format(Locale.ROOT, "%.2f", (at - story.beginMillis()) / MILLIS_PER_SECOND);
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/Remote.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/RemoteProcess.java
@@ -16,20 +16,20 @@
 import org.ebonyrun.ports.http.HttpResponse;
 
 /** One process that a command talks to. Not thread safe; used by one command. */
-final class Remote implements AutoCloseable {
+final class RemoteProcess implements AutoCloseable {
     private static final String DEFAULT_ADDRESS = "http://127.0.0.1:8080";
     private static final long TIMEOUT_MILLIS = 40_000;
 
     private final AsyncHttpClient mCaller;
     private final URI mAddress;
 
-    private Remote(AsyncHttpClient caller, URI address) {
+    private RemoteProcess(AsyncHttpClient caller, URI address) {
         mCaller = caller;
         mAddress = address;
     }
 
     /** Adds the options that name the process and the form of the output. */
-    static void register(Subparser parser) {
+    static void addOptions(Subparser parser) {
         parser.addArgument("--at")
                 .setDefault(DEFAULT_ADDRESS)
                 .help("HTTP address of the process; default " + DEFAULT_ADDRESS);
@@ -37,17 +37,18 @@
     }
 
     /** Opens the process that the options name. */
-    static Remote open(Namespace options) throws IOException {
-        return new Remote(AsyncHttpClient.start(), URI.create(options.getString("at")));
+    static RemoteProcess open(Namespace options) throws IOException {
+        return new RemoteProcess(AsyncHttpClient.start(), URI.create(options.getString("at")));
     }
 
     /** Sends a request and waits for the whole answer. */
-    Result<HttpResponse> ask(String method, String path, byte[] body) {
-        return ask(method, path, Map.of("Content-Type", "application/json"), body);
+    Result<HttpResponse> send(String method, String path, byte[] body) {
+        return send(method, path, Map.of("Content-Type", "application/json"), body);
     }
 
     /** Sends a request with headers and waits for the whole answer. */
-    Result<HttpResponse> ask(String method, String path, Map<String, String> headers, byte[] body) {
+    Result<HttpResponse> send(
+            String method, String path, Map<String, String> headers, byte[] body) {
         HttpRequest call =
                 HttpRequest.to(method, URI.create(mAddress + path), headers, body, TIMEOUT_MILLIS);
         return mCaller.request(call, "client." + method).join();
@@ -59,13 +60,13 @@
     }
 
     /** Prints an answer as it came, and returns the exit status for it. */
-    static int printRaw(Result<HttpResponse> result, PrintStream out) {
+    static int printResponse(Result<HttpResponse> result, PrintStream out) {
         return result.fold(
                 reply -> {
                     (reply.isSuccess() ? out : System.err).println(reply.text());
-                    return status(reply);
+                    return exitStatus(reply);
                 },
-                Remote::printFault);
+                RemoteProcess::printFault);
     }
 
     /** Prints a fault of the connection and returns the exit status for it. */
@@ -81,7 +82,7 @@
     }
 
     /** Returns the exit status for an answer. */
-    static int status(HttpResponse reply) {
+    static int exitStatus(HttpResponse reply) {
         if (reply.isSuccess()) {
             return ExitStatus.OK;
         }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StatusCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StatusCommand.java
@@ -21,16 +21,16 @@
                         .help("show classes, endpoints, steps and weights")
                         .epilog("example: ebonyrun status --at http://10.0.0.4:8080");
         parser.setDefault("command", this);
-        Remote.register(parser);
+        RemoteProcess.addOptions(parser);
     }
 
     @Override
     public int run(Namespace options) throws IOException {
-        try (Remote remote = Remote.open(options)) {
-            Result<HttpResponse> answer = remote.ask("GET", "/admin/status", new byte[0]);
+        try (RemoteProcess remote = RemoteProcess.open(options)) {
+            Result<HttpResponse> answer = remote.send("GET", "/admin/status", new byte[0]);
             boolean table = answer.fold(HttpResponse::isSuccess, fault -> false);
             if (!table || options.getBoolean("json")) {
-                return Remote.printRaw(answer, System.out);
+                return RemoteProcess.printResponse(answer, System.out);
             }
             print(Json.tree(answer.orThrow().body()));
             return ExitStatus.OK;
@@ -45,9 +45,10 @@
                         + ", configuration version "
                         + state.path("config_version").asLong()
                         + (state.path("draining").asBoolean() ? ", draining" : ""));
-        Table classes = Table.of("CLASS", "CALLS", "IN TIME", "TARGET", "REFUSED", "SHORTFALL");
+        Table classes =
+                Table.withHeading("CLASS", "CALLS", "IN TIME", "TARGET", "REFUSED", "SHORTFALL");
         for (JsonNode row : state.path("classes")) {
-            classes.row(
+            classes.addRow(
                     row.path("name").asText(),
                     row.path("calls").asLong(),
                     row.path("in_time").asText(),
@@ -56,10 +57,11 @@
                     row.path("shortfall").asText());
         }
         print(classes);
-        Table endpoints = Table.of("ENDPOINT", "SERVICE", "USABLE", "RUNNING", "SLOTS", "VERSION");
+        Table endpoints =
+                Table.withHeading("ENDPOINT", "SERVICE", "USABLE", "RUNNING", "SLOTS", "VERSION");
         for (JsonNode row : state.path("dispatch").path("endpoints")) {
             JsonNode load = row.path("load");
-            endpoints.row(
+            endpoints.addRow(
                     row.path("vm").asText(),
                     row.path("service").asText(),
                     row.path("usable").asBoolean(),
@@ -68,9 +70,9 @@
                     load.path("version").asLong());
         }
         print(endpoints);
-        Table steps = Table.of("TRAINER", "STEP", "SLOTS", "DELIVERED", "READY", "STALE");
+        Table steps = Table.withHeading("TRAINER", "STEP", "SLOTS", "DELIVERED", "READY", "STALE");
         for (JsonNode row : state.path("steps")) {
-            steps.row(
+            steps.addRow(
                     row.path("trainer").asText(),
                     row.path("step").asLong(),
                     row.path("slots").asInt(),
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StepCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StepCommand.java
@@ -38,17 +38,21 @@
                         + options.getString("trainer")
                         + "/steps/"
                         + options.getLong("step");
-        try (Remote remote = Remote.open(options)) {
+        try (RemoteProcess remote = RemoteProcess.open(options)) {
             return switch (options.getString("action")) {
                 case "submit" ->
-                        Remote.printRaw(
-                                remote.ask(
-                                        "PUT", path, CallCommand.body(options.getString("body"))),
+                        RemoteProcess.printResponse(
+                                remote.send(
+                                        "PUT",
+                                        path,
+                                        CallCommand.readBody(options.getString("body"))),
                                 System.out);
                 case "pull" ->
-                        Remote.printRaw(
-                                remote.ask("POST", path + "/pull", pullBody(options)), System.out);
-                default -> Remote.printRaw(remote.ask("DELETE", path, new byte[0]), System.out);
+                        RemoteProcess.printResponse(
+                                remote.send("POST", path + "/pull", pullBody(options)), System.out);
+                default ->
+                        RemoteProcess.printResponse(
+                                remote.send("DELETE", path, new byte[0]), System.out);
             };
         }
     }
@@ -59,7 +63,7 @@
         parser.setDefault("action", name);
         parser.addArgument("trainer").help("name of the trainer");
         parser.addArgument("step").type(Long.class).help("number of the step");
-        Remote.register(parser);
+        RemoteProcess.addOptions(parser);
         return parser;
     }
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/Table.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/Table.java
@@ -10,14 +10,14 @@
     private final List<List<String>> mRows = new ArrayList<>();
 
     /** Creates a table with a heading. */
-    static Table of(String... heading) {
+    static Table withHeading(String... heading) {
         Table table = new Table();
         table.mRows.add(List.of(heading));
         return table;
     }
 
     /** Adds a row with as many cells as the heading. */
-    Table row(Object... cells) {
+    Table addRow(Object... cells) {
         List<String> row = new ArrayList<>();
         for (Object cell : cells) {
             row.add(String.valueOf(cell));
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/CallLog.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/CallResults.java
@@ -7,20 +7,20 @@
 import org.HdrHistogram.Histogram;
 
 /** What the demonstration's callers saw. Thread safe. */
-final class CallLog {
+final class CallResults {
     private static final int SIGNIFICANT_DIGITS = 3;
 
     final AtomicLong mAnswered = new AtomicLong();
     final AtomicLong mLate = new AtomicLong();
     final AtomicLong mRefused = new AtomicLong();
     final AtomicLong mFailed = new AtomicLong();
-    final List<String> mWrong = new CopyOnWriteArrayList<>();
+    final List<String> mWrongAnswers = new CopyOnWriteArrayList<>();
     final List<String> mSyncAnswered = new CopyOnWriteArrayList<>();
     final List<String> mSyncNotRun = new CopyOnWriteArrayList<>();
     final List<String> mSyncUnknown = new CopyOnWriteArrayList<>();
     private final Histogram mMicros = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
 
-    void answered(long nanos, long targetMillis) {
+    void recordAnswer(long nanos, long targetMillis) {
         mAnswered.incrementAndGet();
         mMicros.recordValue(nanos / 1_000);
         if (nanos > targetMillis * 1_000_000) {
@@ -29,7 +29,7 @@
     }
 
     /** Returns a quantile of the time to the whole answer, in milliseconds. */
-    double millisAt(double quantile) {
+    double latencyMillis(double quantile) {
         return mMicros.getValueAtPercentile(quantile * 100) / 1_000.0;
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/Demo.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/Demo.java
@@ -28,13 +28,13 @@
 
     private static DemoReport play(DemoOptions options, PrintStream out)
             throws IOException, InterruptedException {
-        CallLog calls = new CallLog();
+        CallResults calls = new CallResults();
         try (DemoFleet fleet = DemoFleet.start();
                 DemoLoad load = new DemoLoad(fleet, calls, options.seed())) {
             StandinTrainer trainer =
                     StandinTrainer.create(
                             TRAINER,
-                            fleet.caller(),
+                            fleet.httpClient(),
                             fleet::nextEntry,
                             fleet.platform().address(),
                             DemoFleet.firstVersion());
@@ -46,7 +46,7 @@
             load.finish();
             trainer.stop();
             training.join(STEP_END_MILLIS);
-            return new DemoAudit(fleet, calls, trainer).report();
+            return new DemoAudit(fleet, calls, trainer).createReport();
         }
     }
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoAudit.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoAudit.java
@@ -20,13 +20,13 @@
 final class DemoAudit {
     private static final long STALENESS_BOUND = 2;
 
-    private final CallLog mCalls;
+    private final CallResults mCalls;
     private final StandinTrainer mTrainer;
     private final Map<String, EngineRun> mRuns = new HashMap<>();
     private final Map<String, Integer> mSyncRuns = new HashMap<>();
     private final List<String> mBroken = new ArrayList<>();
 
-    DemoAudit(DemoFleet fleet, CallLog calls, StandinTrainer trainer) {
+    DemoAudit(DemoFleet fleet, CallResults calls, StandinTrainer trainer) {
         mCalls = calls;
         mTrainer = trainer;
         for (StandinEngine engine : fleet.engines()) {
@@ -37,11 +37,11 @@
         }
     }
 
-    DemoReport report() {
+    DemoReport createReport() {
         long twice = checkSyncs();
         long duplicates = checkSamples();
         long missing = missing();
-        check(mCalls.mWrong.isEmpty(), "wrong or partial answers: " + mCalls.mWrong);
+        check(mCalls.mWrongAnswers.isEmpty(), "wrong or partial answers: " + mCalls.mWrongAnswers);
         check(missing == 0, missing + " samples are missing");
         check(mTrainer.completed() > 0, "no step was completed: " + mTrainer.lastFault());
         check(mCalls.mAnswered.get() > 0, "no call was answered");
@@ -51,8 +51,8 @@
                 mCalls.mLate.get(),
                 mCalls.mRefused.get(),
                 mCalls.mFailed.get(),
-                mCalls.millisAt(0.5),
-                mCalls.millisAt(0.99),
+                mCalls.latencyMillis(0.5),
+                mCalls.latencyMillis(0.99),
                 mCalls.mSyncAnswered.size()
                         + mCalls.mSyncNotRun.size()
                         + mCalls.mSyncUnknown.size(),
@@ -103,7 +103,7 @@
             boolean named = run.versions().equals(sample.versions());
             check(named, slot + " names " + sample.versions() + " but ran on " + run.versions());
             boolean whole =
-                    DemoLoad.isWholeAnswer(
+                    DemoLoad.isCompleteAnswer(
                             sample.text(), run.prompt(), mTrainer.settings().maxTokens());
             check(whole && run.finished(), slot + " is not whole");
         }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoFleet.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoFleet.java
@@ -108,7 +108,7 @@
         return FIRST_VERSION;
     }
 
-    AsyncHttpClient caller() {
+    AsyncHttpClient httpClient() {
         return mCaller;
     }
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoLoad.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoLoad.java
@@ -25,13 +25,13 @@
     private static final int TOKEN_RANGE = 32;
 
     private final DemoFleet mFleet;
-    private final CallLog mLog;
+    private final CallResults mLog;
     private final Random mRandom;
     private final AtomicLong mNumbers = new AtomicLong();
     private final AtomicLong mOpen = new AtomicLong();
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(1);
 
-    DemoLoad(DemoFleet fleet, CallLog log, long seed) {
+    DemoLoad(DemoFleet fleet, CallResults log, long seed) {
         mFleet = fleet;
         mLog = log;
         mRandom = new Random(seed);
@@ -64,7 +64,7 @@
         URI uri = URI.create(mFleet.nextEntry() + "/v1/calls/slot-lookup");
         long begin = System.nanoTime();
         mOpen.incrementAndGet();
-        mFleet.caller()
+        mFleet.httpClient()
                 .request(HttpRequest.json("POST", uri, body, TIMEOUT_MILLIS), "demo.lookup")
                 .thenAccept(
                         result -> {
@@ -79,16 +79,16 @@
             countFault(reply);
             return false;
         }
-        mLog.answered(System.nanoTime() - begin, LOOKUP_TARGET_MILLIS);
+        mLog.recordAnswer(System.nanoTime() - begin, LOOKUP_TARGET_MILLIS);
         JsonNode choice = Json.tree(reply.body()).path("choices").path(0);
-        if (!isWholeAnswer(choice.path("text").asText(), prompt, tokens)) {
-            mLog.mWrong.add(prompt);
+        if (!isCompleteAnswer(choice.path("text").asText(), prompt, tokens)) {
+            mLog.mWrongAnswers.add(prompt);
         }
         return true;
     }
 
     /** Returns whether a text is the whole answer to a prompt. */
-    static boolean isWholeAnswer(String text, String prompt, int tokens) {
+    static boolean isCompleteAnswer(String text, String prompt, int tokens) {
         String[] words = text.split(" ");
         boolean own = words[0].substring(words[0].indexOf(':') + 1).equals(prompt);
         return own && words.length == tokens + 1 && words[tokens].equals("t" + (tokens - 1));
@@ -105,7 +105,7 @@
                         body,
                         TIMEOUT_MILLIS);
         mOpen.incrementAndGet();
-        mFleet.caller()
+        mFleet.httpClient()
                 .request(call, "demo.sync")
                 .thenAccept(
                         result -> {
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/CallStory.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/CallSummary.java
@@ -8,14 +8,14 @@
  *
  * <p>Not thread safe.
  */
-public final class CallStory {
+public final class CallSummary {
     private final String mRequest;
     private final long mSentAt;
     private final List<String> mAttempts = new ArrayList<>();
     private long mEndedAt;
     private String mFailure = "";
 
-    CallStory(String request, long sentAt) {
+    CallSummary(String request, long sentAt) {
         mRequest = request;
         mSentAt = sentAt;
         mEndedAt = sentAt;
@@ -32,7 +32,7 @@
     }
 
     /** Returns the request's id. */
-    public String request() {
+    public String requestId() {
         return mRequest;
     }
 
@@ -42,12 +42,12 @@
     }
 
     /** Returns how long the call took, in milliseconds, as far as the logs tell. */
-    public long millis() {
+    public long durationMillis() {
         return mEndedAt - mSentAt;
     }
 
     /** Returns how the attempts ended, in order. */
-    public List<String> attempts() {
+    public List<String> attemptOutcomes() {
         return List.copyOf(mAttempts);
     }
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogStory.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogAnalysis.java
@@ -16,46 +16,46 @@
  *
  * <p>Immutable. A line of which the log's bounds dropped the context counts for nothing.
  */
-public final class LogStory {
+public final class LogAnalysis {
     /** The run of a sample: which step and sample an entry's run number means. */
-    private record Run(StepStory step, String sample) {}
+    private record Run(StepSummary step, String sample) {}
 
-    private final Map<String, StepStory> mSteps = new LinkedHashMap<>();
-    private final Map<String, CallStory> mCalls = new LinkedHashMap<>();
+    private final Map<String, StepSummary> mSteps = new LinkedHashMap<>();
+    private final Map<String, CallSummary> mCalls = new LinkedHashMap<>();
     private final Map<String, Run> mRuns = new HashMap<>();
     private final Map<String, Long> mNamed = new HashMap<>();
     private final List<Long> mOrders = new ArrayList<>();
     private final long mBegin;
 
-    private LogStory(List<LogEvent> events) {
+    private LogAnalysis(List<LogEvent> events) {
         mBegin = events.isEmpty() ? 0 : events.get(0).atMillis();
         events.forEach(this::take);
     }
 
     /** Reads events in any order. */
-    public static LogStory of(Collection<LogEvent> events) {
+    public static LogAnalysis of(Collection<LogEvent> events) {
         List<LogEvent> sorted = new ArrayList<>(events);
         sorted.sort(Comparator.comparingLong(LogEvent::atMillis));
-        return new LogStory(sorted);
+        return new LogAnalysis(sorted);
     }
 
     private void take(LogEvent event) {
         switch (event.name()) {
             case "step.owned" -> own(event);
-            case "step.taken" -> withStep(event, StepStory::onTaken);
+            case "step.taken" -> withStep(event, StepSummary::onOwnerChange);
             case "step.end", "step.ended" ->
                     withStep(event, step -> step.onEnded(event.atMillis()));
             case "sample.sent" -> send(event);
             case "sample.run", "sample.stopped" -> endRun(event);
             case "version.named" ->
                     mNamed.putIfAbsent(
-                            version(event.text("model"), event.number("version")),
+                            version(event.getText("model"), event.getInt("version")),
                             event.atMillis());
             case "order" -> mOrders.add(event.atMillis());
             case "call.sent" -> call(event);
-            case "call.attempt" -> call(event).onAttempt(event.text("end"), event.atMillis());
+            case "call.attempt" -> call(event).onAttempt(event.getText("end"), event.atMillis());
             case "call.failed", "call.refused" ->
-                    call(event).onFailure(event.text("why"), event.atMillis());
+                    call(event).onFailure(event.getText("why"), event.atMillis());
             default -> {
                 // Tells nothing of a step or call.
             }
@@ -64,17 +64,17 @@
 
     private void own(LogEvent event) {
         mSteps.putIfAbsent(
-                event.text("step"),
-                new StepStory(
-                        event.text("step"),
-                        event.text("model"),
-                        event.number("number"),
-                        event.number("samples"),
+                event.getText("step"),
+                new StepSummary(
+                        event.getText("step"),
+                        event.getText("model"),
+                        event.getInt("number"),
+                        event.getInt("samples"),
                         event.atMillis()));
     }
 
-    private void withStep(LogEvent event, Consumer<StepStory> use) {
-        StepStory step = mSteps.get(event.text("step"));
+    private void withStep(LogEvent event, Consumer<StepSummary> use) {
+        StepSummary step = mSteps.get(event.getText("step"));
         if (step != null) {
             use.accept(step);
         }
@@ -84,8 +84,8 @@
         withStep(
                 event,
                 step -> {
-                    step.onSent(event.text("request"));
-                    mRuns.put(run(event), new Run(step, event.text("request")));
+                    step.onSampleSent(event.getText("request"));
+                    mRuns.put(run(event), new Run(step, event.getText("request")));
                 });
     }
 
@@ -95,11 +95,11 @@
         if (run == null) {
             return;
         }
-        String end = event.text("end");
+        String end = event.getText("end");
         if (end.equals("COMPLETE")) {
-            run.step().onWhole(run.sample(), event.atMillis());
+            run.step().onSampleComplete(run.sample(), event.atMillis());
         } else {
-            run.step().onFailedRun(end.isEmpty() ? reason(event.text("why")) : end);
+            run.step().onFailedRun(end.isEmpty() ? reason(event.getText("why")) : end);
         }
     }
 
@@ -110,13 +110,13 @@
         return text.replaceAll(" for [0-9]+ ms", "");
     }
 
-    private CallStory call(LogEvent event) {
+    private CallSummary call(LogEvent event) {
         return mCalls.computeIfAbsent(
-                event.text("request"), request -> new CallStory(request, event.atMillis()));
+                event.getText("request"), request -> new CallSummary(request, event.atMillis()));
     }
 
     private static String run(LogEvent event) {
-        return event.process() + "/" + event.text("run");
+        return event.process() + "/" + event.getText("run");
     }
 
     private static String version(String model, int number) {
@@ -124,32 +124,32 @@
     }
 
     /** Returns when the first line was written, in milliseconds since the epoch. */
-    public long begin() {
+    public long beginMillis() {
         return mBegin;
     }
 
     /** Returns the steps by trainer and number. */
-    public List<StepStory> steps() {
-        List<StepStory> steps = new ArrayList<>(mSteps.values());
-        steps.sort(Comparator.comparing(StepStory::model).thenComparingInt(StepStory::number));
+    public List<StepSummary> steps() {
+        List<StepSummary> steps = new ArrayList<>(mSteps.values());
+        steps.sort(Comparator.comparing(StepSummary::model).thenComparingInt(StepSummary::number));
         return steps;
     }
 
     /** Returns when a version was named; empty if no line tells. */
-    public OptionalLong named(String model, int version) {
+    public OptionalLong versionNamedAt(String model, int version) {
         @Nullable Long at = mNamed.get(version(model, version));
         return at == null ? OptionalLong.empty() : OptionalLong.of(at);
     }
 
     /** Returns the calls that took longer than a time, in milliseconds, or failed. */
-    public List<CallStory> lateOrFailed(long lateMillis) {
+    public List<CallSummary> lateOrFailedCalls(long lateMillis) {
         return mCalls.values().stream()
-                .filter(call -> call.millis() > lateMillis || !call.failure().isEmpty())
+                .filter(call -> call.durationMillis() > lateMillis || !call.failure().isEmpty())
                 .toList();
     }
 
     /** Returns the longest time in which no order was given, as its begin and end. */
-    public List<Long> longestWithoutOrder() {
+    public List<Long> longestOrderGap() {
         long begin = mBegin;
         long end = mBegin;
         for (int i = 1; i < mOrders.size(); i++) {
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogEvent.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogEvent.java
@@ -37,16 +37,16 @@
 
     /** Returns the event's name. */
     public String name() {
-        return text("event");
+        return getText("event");
     }
 
     /** Returns a field as text; empty if it is missing. */
-    public String text(String field) {
+    public String getText(String field) {
         return fields.path(field).asText();
     }
 
     /** Returns a field as a whole number; zero if it is missing. */
-    public int number(String field) {
+    public int getInt(String field) {
         return fields.path(field).asInt();
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/StepStory.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/StepSummary.java
@@ -14,7 +14,7 @@
  *
  * <p>Not thread safe.
  */
-public final class StepStory {
+public final class StepSummary {
     private final String mId;
     private final String mModel;
     private final int mNumber;
@@ -26,7 +26,7 @@
     private OptionalLong mEndedAt = OptionalLong.empty();
     private int mOwners = 1;
 
-    StepStory(String id, String model, int number, int samples, long askedAt) {
+    StepSummary(String id, String model, int number, int samples, long askedAt) {
         mId = id;
         mModel = model;
         mNumber = number;
@@ -34,15 +34,15 @@
         mAskedAt = askedAt;
     }
 
-    void onTaken() {
+    void onOwnerChange() {
         mOwners++;
     }
 
-    void onSent(String sample) {
+    void onSampleSent(String sample) {
         mSent.add(sample);
     }
 
-    void onWhole(String sample, long at) {
+    void onSampleComplete(String sample, long at) {
         mFinished.putIfAbsent(sample, at);
     }
 
@@ -72,27 +72,27 @@
     }
 
     /** Returns how many samples the step has. */
-    public int samples() {
+    public int sampleCount() {
         return mSamples;
     }
 
     /** Returns when an entry accepted the step. */
-    public long askedAt() {
+    public long acceptedAt() {
         return mAskedAt;
     }
 
     /** Returns how many processes owned the step in turn. */
-    public int owners() {
+    public int ownerCount() {
         return mOwners;
     }
 
     /** Returns how many samples no endpoint was sent. */
-    public int unsent() {
+    public int unsentSamples() {
         return mSamples - mSent.size();
     }
 
     /** Returns when a share of the samples that became whole were so; empty if none did. */
-    public OptionalLong wholeAt(double share) {
+    public OptionalLong completedAt(double share) {
         if (mFinished.isEmpty()) {
             return OptionalLong.empty();
         }
--- a/ebonyrun-client/src/test/java/org/ebonyrun/client/explain/LogStoryTest.java
+++ b/ebonyrun-client/src/test/java/org/ebonyrun/client/explain/LogAnalysisTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class LogStoryTest {
+class LogAnalysisTest {
     private static final String[] LINES = {
         "  0.1 vm-1 {'at':1000,'event':'step.owned','step':'s','samples':3,'model':'m','number':2}",
         "  0.1 vm-1 {'at':900,'event':'version.named','model':'m','version':2}",
@@ -39,40 +39,40 @@
         "{'at':1800,'event':'order'}",
     };
 
-    private final LogStory mStory =
-            LogStory.of(
+    private final LogAnalysis mStory =
+            LogAnalysis.of(
                     Stream.of(LINES)
                             .map(line -> LogEvent.parse(line.replace('\'', '"')).orElseThrow())
                             .toList());
 
     @Test
     void aStepIsToldFromItsFirstSampleToItsEnd() {
-        StepStory step = mStory.steps().get(0);
+        StepSummary step = mStory.steps().get(0);
 
         assertThat(mStory.steps(), hasSize(1));
-        assertThat(step.askedAt(), is(1_000L));
-        assertThat(step.unsent(), is(1));
-        assertThat(step.wholeAt(0.5), is(OptionalLong.of(1_200)));
-        assertThat(step.wholeAt(1), is(OptionalLong.of(1_300)));
+        assertThat(step.acceptedAt(), is(1_000L));
+        assertThat(step.unsentSamples(), is(1));
+        assertThat(step.completedAt(0.5), is(OptionalLong.of(1_200)));
+        assertThat(step.completedAt(1), is(OptionalLong.of(1_300)));
         assertThat(step.endedAt(), is(OptionalLong.of(1_400)));
         assertThat(step.failedRuns(), is(Map.of("endpoint is slow", 1)));
-        assertThat(mStory.named("m", 2), is(OptionalLong.of(900)));
-        assertThat(mStory.named("m", 3), is(OptionalLong.empty()));
+        assertThat(mStory.versionNamedAt("m", 2), is(OptionalLong.of(900)));
+        assertThat(mStory.versionNamedAt("m", 3), is(OptionalLong.empty()));
     }
 
     @Test
     void callsThatAreLateOrFailedAreToldWithTheirAttempts() {
-        List<CallStory> calls = mStory.lateOrFailed(500);
+        List<CallSummary> calls = mStory.lateOrFailedCalls(500);
 
-        assertThat(calls.stream().map(CallStory::request).toList(), contains("c", "e"));
-        assertThat(calls.get(0).millis(), is(890L));
-        assertThat(calls.get(0).attempts(), contains("LOST", "COMPLETE"));
+        assertThat(calls.stream().map(CallSummary::requestId).toList(), contains("c", "e"));
+        assertThat(calls.get(0).durationMillis(), is(890L));
+        assertThat(calls.get(0).attemptOutcomes(), contains("LOST", "COMPLETE"));
         assertThat(calls.get(1).failure(), is("full"));
     }
 
     @Test
     void theLongestTimeWithoutAnOrderIsTold() {
-        assertThat(mStory.longestWithoutOrder(), contains(1_000L, 1_700L));
+        assertThat(mStory.longestOrderGap(), contains(1_000L, 1_700L));
     }
 
     @ParameterizedTest
