--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ArchiveRun.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ArchiveRun.java
@@ -18,20 +18,21 @@
 import org.ebonyrun.ports.http.HttpResponse;
 
 /**
- * Serves a few requests on loopback against stand-ins and exits, so that the virtual machine can
- * record which classes an entry needs. Used by the build; stateless.
+ * Training run for the JVM's class data sharing archive: serves a few requests on loopback against
+ * stand-ins and exits, so that the JVM records which classes an entry loads. Used by the build;
+ * stateless.
  */
 public final class ArchiveRun {
-    private static final long WAIT_MILLIS = 3_000;
-    private static final long PAUSE_MILLIS = 50;
+    private static final long TIMEOUT_MILLIS = 3_000;
+    private static final long POLL_MILLIS = 50;
 
     private ArchiveRun() {}
 
-    /** Runs once. */
+    /** Exits with status 0 once a step's result was listed, and with 1 if none was in time. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Random random = new Random();
-        StandinDeployment scene = StandinDeployment.start(freeAddress(), freeAddress());
-        String front = text(freeAddress());
+        StandinDeployment deployment = StandinDeployment.start(freeAddress(), freeAddress());
+        String front = formatAddress(freeAddress());
         String settings =
                 String.join(
                         "\n",
@@ -41,49 +42,49 @@
                         "listen: {front: \""
                                 + front
                                 + "\", ready: \""
-                                + text(freeAddress())
+                                + formatAddress(freeAddress())
                                 + "\", metrics: \""
-                                + text(freeAddress())
+                                + formatAddress(freeAddress())
                                 + "\"}",
-                        "store: \"" + text(scene.storeAddress()) + "\"",
+                        "store: \"" + formatAddress(deployment.storeAddress()) + "\"",
                         "first_start: true",
                         "limits: {order_quiet: 3s, grace: 8s, keep_results: 120s}");
         HostedSettings.Parsed parsed = HostedSettings.parse("archive", settings);
         EventLog log = EventLog.start(OutputStream.nullOutputStream());
         HostedEntry.start(parsed.settings(), log);
-        AsyncHttpClient caller = AsyncHttpClient.start();
+        AsyncHttpClient client = AsyncHttpClient.start();
         String step = Long.toHexString(random.nextLong());
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MILLIS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
         boolean listed = false;
-        while (!listed && System.nanoTime() - end < 0) {
-            post(caller, front, scene.callPath(), "call", scene.callBody());
-            post(caller, front, scene.stepPath(), step, scene.stepBody());
-            URI results = URI.create("http://" + front + scene.resultsPath(step, 0));
-            HttpResponse reply = get(caller, results);
-            listed = reply.text().contains("done");
-            new CountDownLatch(1).await(PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        while (!listed && System.nanoTime() - deadline < 0) {
+            post(client, front, deployment.callPath(), "call", deployment.callBody());
+            post(client, front, deployment.stepPath(), step, deployment.stepBody());
+            URI results = URI.create("http://" + front + deployment.resultsPath(step, 0));
+            HttpResponse response = get(client, results);
+            listed = response.text().contains("done");
+            new CountDownLatch(1).await(POLL_MILLIS, TimeUnit.MILLISECONDS);
         }
         System.exit(listed ? 0 : 1);
     }
 
     private static void post(
-            AsyncHttpClient caller, String front, String path, String id, String body) {
+            AsyncHttpClient client, String front, String path, String id, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         Map<String, String> headers = StandinDeployment.headers(id);
         HttpRequest call =
                 HttpRequest.to("POST", URI.create("http://" + front + path), headers, bytes, 1_000);
-        caller.request(call, "archive").join();
+        client.request(call, "archive").join();
     }
 
-    private static HttpResponse get(AsyncHttpClient caller, URI uri) {
+    private static HttpResponse get(AsyncHttpClient client, URI uri) {
         HttpRequest call =
                 HttpRequest.to("GET", uri, StandinDeployment.headers(""), new byte[0], 1_000);
-        return caller.request(call, "archive")
+        return client.request(call, "archive")
                 .join()
                 .fold(r -> r, f -> new HttpResponse(0, new byte[0]));
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
@@ -23,74 +23,76 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Carries out what the call machine decides, for callers and for scores of samples.
+ * Performs the I/O that the call state machine requests, for calls of callers and for calls that
+ * score samples.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class CallController implements CallOutputs, CallExchange.Listener {
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final int BAD_GATEWAY = 502;
 
-    /** Who waits for a call: a caller, or a sample that is scored. */
+    /** The client of a call: either a caller, or a sample that is being scored. */
     private record Client(
             @Nullable FrontExchange caller,
             @Nullable ScoreCall score,
-            @Nullable ScoreListener onScore) {}
+            @Nullable ScoreListener scoreListener) {}
 
-    /** Hears how a call that scores a sample ended. */
+    /** Receives the outcome of a call that scores a sample. */
     interface ScoreListener {
         /**
-         * The call ended.
+         * Called once, when the call has ended.
          *
-         * @param score what the service said; empty unless it scored the sample
-         * @param errors how many times the service answered with an error of its own
+         * @param score the score that the service returned; empty unless it scored the sample
+         * @param errors the number of attempts to which the service responded with a server error
          */
-        void onEnd(ScoreOutcome end, String score, int errors);
+        void onEnd(ScoreOutcome outcome, String score, int errors);
     }
 
-    private final HostedContext mParts;
-    private final AsyncHttpClient mCaller;
+    private final HostedContext mContext;
+    private final AsyncHttpClient mHttpClient;
     private final CallMachine mMachine;
     private final Map<Long, Client> mClients = new HashMap<>();
-    private final Map<FrontExchange, Long> mCallOf = new HashMap<>();
+    private final Map<FrontExchange, Long> mCallIds = new HashMap<>();
     private final Map<Long, CallExchange> mAttempts = new HashMap<>();
     private final Map<Long, CallSpec> mSpecs = new HashMap<>();
-    private final Map<Long, Long> mErrors = new HashMap<>();
+    private final Map<Long, Long> mErrorAttempts = new HashMap<>();
     private final Map<Long, Integer> mErrorCounts = new HashMap<>();
-    private long mCount;
+    private long mLastCallId;
 
-    CallController(HostedContext parts, AsyncHttpClient caller, Fleet fleet, FailureDomain domain) {
-        mParts = parts;
-        mCaller = caller;
-        mMachine = CallMachine.create(fleet, domain, parts.policy(), this);
+    CallController(
+            HostedContext context, AsyncHttpClient httpClient, Fleet fleet, FailureDomain domain) {
+        mContext = context;
+        mHttpClient = httpClient;
+        mMachine = CallMachine.create(fleet, domain, context.policy(), this);
     }
 
-    /** Returns a number for a new call. */
+    /** Returns an ID for a new call, unique within this process. */
     long nextCallId() {
-        return ++mCount;
+        return ++mLastCallId;
     }
 
-    /** Takes a call of a caller. */
+    /** Starts a call on behalf of a caller. */
     void onCall(CallSpec spec, FrontExchange caller, long now) {
         mClients.put(spec.id(), new Client(caller, null, null));
-        mCallOf.put(caller, spec.id());
+        mCallIds.put(caller, spec.id());
         mMachine.onCall(spec, now);
     }
 
-    /** Takes a call that scores a sample. */
-    void onScoreCall(CallSpec spec, ScoreCall score, ScoreListener end, long now) {
-        mClients.put(spec.id(), new Client(null, score, end));
+    /** Starts a call that scores a sample. */
+    void onScoreCall(CallSpec spec, ScoreCall score, ScoreListener listener, long now) {
+        mClients.put(spec.id(), new Client(null, score, listener));
         mMachine.onCall(spec, now);
     }
 
-    /** Ends the call of a caller that left. */
+    /** Cancels the call of a caller that has disconnected. */
     void onCallerDisconnected(FrontExchange caller, long now) {
-        Long call = mCallOf.remove(caller);
+        Long call = mCallIds.remove(caller);
         if (call != null) {
             mClients.remove(call);
             mMachine.onAbandoned(call, now);
-            forgetErrors(call);
+            removeErrors(call);
         }
     }
 
@@ -109,11 +111,11 @@
             return;
         }
         boolean streaming = client.caller() != null && call.route().kind() == RouteKind.STREAM;
-        CallExchange exchange = new CallExchange(attempt, streaming, mParts.executor(), this);
+        CallExchange exchange = new CallExchange(attempt, streaming, mContext.executor(), this);
         mAttempts.put(attempt, exchange);
         mSpecs.put(attempt, call);
-        HttpRequest request = request(client, endpoint, leftMillis);
-        mParts.log()
+        HttpRequest request = newRequest(client, endpoint, leftMillis);
+        mContext.log()
                 .write(
                         LogLine.of("call.sent")
                                 .with("request", call.requestId())
@@ -121,10 +123,10 @@
                                 .with("attempt", attempt)
                                 .with("active", endpoint.activeRequests())
                                 .with("left_ms", leftMillis));
-        exchange.setExchange(mCaller.send(request, exchange));
+        exchange.setExchange(mHttpClient.send(request, exchange));
     }
 
-    private static HttpRequest request(Client client, Endpoint endpoint, long leftMillis) {
+    private static HttpRequest newRequest(Client client, Endpoint endpoint, long leftMillis) {
         FrontExchange caller = client.caller();
         ScoreCall score = client.score();
         if (caller != null) {
@@ -137,7 +139,7 @@
                     leftMillis);
         }
         if (score == null) {
-            throw new IllegalStateException("call without a client");
+            throw new IllegalStateException("call has neither a caller nor a sample to score");
         }
         return EndpointProtocol.newScoreRequest(endpoint.record(), score, leftMillis);
     }
@@ -154,13 +156,13 @@
                     LogLine.of("call.cancelled")
                             .with("request", call.requestId())
                             .with("attempt", attempt);
-            mParts.log().write(exchange.withConnection(line));
+            mContext.log().write(exchange.withConnection(line));
         }
     }
 
     @Override
     public void deliver(CallSpec call, long attempt) {
-        mParts.metrics().count(EntryMetrics.CALLS, "answered");
+        mContext.metrics().count(EntryMetrics.CALLS, "answered");
         CallExchange exchange = mAttempts.remove(attempt);
         int errors = mErrorCounts.getOrDefault(call.id(), 0);
         Client client = finish(call);
@@ -179,21 +181,21 @@
     }
 
     private static void endScore(Client client, HttpResponseHead head, int errors) {
-        ScoreListener end = client.onScore();
-        if (end == null) {
+        ScoreListener listener = client.scoreListener();
+        if (listener == null) {
             return;
         }
         if (head.isSuccess()) {
-            end.onEnd(ScoreOutcome.SCORED, EndpointProtocol.serverStamp(head), errors);
+            listener.onEnd(ScoreOutcome.SCORED, EndpointProtocol.serverStamp(head), errors);
         } else {
-            end.onEnd(ScoreOutcome.FAILED, "", errors);
+            listener.onEnd(ScoreOutcome.FAILED, "", errors);
         }
     }
 
     @Override
     public void refuse(CallSpec call, long retryAfterMillis, String reason) {
-        mParts.metrics().count(EntryMetrics.CALLS, "refused");
-        mParts.log()
+        mContext.metrics().count(EntryMetrics.CALLS, "refused");
+        mContext.log()
                 .write(
                         LogLine.of("call.refused")
                                 .with("request", call.requestId())
@@ -206,8 +208,8 @@
         if (client == null) {
             return;
         }
-        if (client.onScore() != null) {
-            client.onScore().onEnd(ScoreOutcome.UNKNOWN, "", errors);
+        if (client.scoreListener() != null) {
+            client.scoreListener().onEnd(ScoreOutcome.UNKNOWN, "", errors);
         } else if (client.caller() != null) {
             client.caller()
                     .respond(
@@ -219,8 +221,8 @@
 
     @Override
     public void fail(CallSpec call, boolean timeout, String reason) {
-        mParts.metrics().count(EntryMetrics.CALLS, timeout ? "timeout" : "failed");
-        mParts.log()
+        mContext.metrics().count(EntryMetrics.CALLS, timeout ? "timeout" : "failed");
+        mContext.log()
                 .write(
                         LogLine.of("call.failed")
                                 .with("request", call.requestId())
@@ -233,8 +235,8 @@
             return;
         }
         FrontExchange caller = client.caller();
-        if (client.onScore() != null) {
-            client.onScore().onEnd(ScoreOutcome.UNKNOWN, "", errors);
+        if (client.scoreListener() != null) {
+            client.scoreListener().onEnd(ScoreOutcome.UNKNOWN, "", errors);
         } else if (caller != null && caller.isBegun()) {
             caller.abort();
         } else if (caller != null) {
@@ -248,17 +250,17 @@
     private @Nullable Client finish(CallSpec call) {
         Client client = mClients.remove(call.id());
         double seconds = (System.nanoTime() - call.arrivedAt()) / (double) Nanos.PER_SECOND;
-        mParts.metrics().recordCallSeconds(seconds);
+        mContext.metrics().recordCallSeconds(seconds);
         if (client != null && client.caller() != null) {
-            mCallOf.remove(client.caller());
+            mCallIds.remove(client.caller());
         }
-        forgetErrors(call.id());
+        removeErrors(call.id());
         return client;
     }
 
-    private void forgetErrors(long call) {
+    private void removeErrors(long call) {
         mErrorCounts.remove(call);
-        Long error = mErrors.remove(call);
+        Long error = mErrorAttempts.remove(call);
         if (error != null) {
             mAttempts.remove(error);
         }
@@ -276,40 +278,40 @@
     }
 
     @Override
-    public void onChunk(CallExchange exchange, byte[] piece) {
+    public void onChunk(CallExchange exchange, byte[] chunk) {
         CallSpec call = mSpecs.get(exchange.attempt());
         Client client = call == null ? null : mClients.get(call.id());
         if (client != null && client.caller() != null) {
-            client.caller().write(piece);
+            client.caller().write(chunk);
         }
     }
 
     @Override
-    public void onEnd(CallExchange exchange, AttemptOutcome end) {
+    public void onEnd(CallExchange exchange, AttemptOutcome outcome) {
         CallSpec call = mSpecs.get(exchange.attempt());
         if (call == null) {
             return;
         }
         HttpResponseHead head = exchange.head();
-        mParts.metrics().count(EntryMetrics.ATTEMPTS, end.name());
+        mContext.metrics().count(EntryMetrics.ATTEMPTS, outcome.name());
         LogLine line =
                 LogLine.of("call.attempt")
                         .with("request", call.requestId())
                         .with("attempt", exchange.attempt())
-                        .with("end", end)
+                        .with("end", outcome)
                         .with("status", head == null ? 0 : head.status())
                         .with("detail", exchange.detail());
-        mParts.log().write(exchange.withConnection(line));
+        mContext.log().write(exchange.withConnection(line));
         mSpecs.remove(exchange.attempt());
-        if (end == AttemptOutcome.SERVER_ERROR) {
+        if (outcome == AttemptOutcome.SERVER_ERROR) {
             mErrorCounts.merge(call.id(), 1, Integer::sum);
-            Long earlier = mErrors.put(call.id(), exchange.attempt());
-            if (earlier != null) {
-                mAttempts.remove(earlier);
+            Long previous = mErrorAttempts.put(call.id(), exchange.attempt());
+            if (previous != null) {
+                mAttempts.remove(previous);
             }
         }
-        mMachine.onAttemptEnd(exchange.attempt(), end, System.nanoTime());
-        if (end != AttemptOutcome.SERVER_ERROR) {
+        mMachine.onAttemptEnd(exchange.attempt(), outcome, System.nanoTime());
+        if (outcome != AttemptOutcome.SERVER_ERROR) {
             mAttempts.remove(exchange.attempt());
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallExchange.java
@@ -8,36 +8,37 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One attempt of a call at an endpoint.
+ * The HTTP exchange of one attempt of a call at an endpoint.
  *
- * <p>The I/O thread collects the answer; the entry's duty reads it after {@link Listener#onEnd}.
- * With {@code streaming}, pieces of a success are passed on as they arrive.
+ * <p>The I/O thread collects the response; the entry's event loop reads it after {@link
+ * Listener#onEnd}. With {@code streaming}, the body of a successful response is passed on in chunks
+ * as they arrive.
  */
 final class CallExchange extends EndpointExchange {
-    /** Hears of the attempt on the entry's duty. */
+    /** Receives the progress of the attempt on the entry's event loop. */
     interface Listener {
-        /** The head of a stream arrived. */
+        /** Called with the head of a response whose body is passed on as a stream. */
         void onHead(CallExchange exchange, HttpResponseHead head);
 
-        /** A piece of a stream arrived. */
-        void onChunk(CallExchange exchange, byte[] piece);
+        /** Called for each chunk of a streamed body, in order. */
+        void onChunk(CallExchange exchange, byte[] chunk);
 
-        /** The attempt ended. */
-        void onEnd(CallExchange exchange, AttemptOutcome end);
+        /** Called once, when the attempt has ended. */
+        void onEnd(CallExchange exchange, AttemptOutcome outcome);
     }
 
     private final long mAttempt;
     private final boolean mStreaming;
-    private final Listener mSink;
+    private final Listener mListener;
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
-    private boolean mPassing;
+    private boolean mPassThrough;
     private String mDetail = "";
 
-    CallExchange(long attempt, boolean streaming, Executor executor, Listener sink) {
+    CallExchange(long attempt, boolean streaming, Executor executor, Listener listener) {
         super(executor);
         mAttempt = attempt;
         mStreaming = streaming;
-        mSink = sink;
+        mListener = listener;
     }
 
     long attempt() {
@@ -59,17 +60,17 @@
     @Override
     public void onHead(HttpResponseHead head) {
         mHead = head;
-        boolean signed = EndpointProtocol.attemptOutcome(head) == AttemptOutcome.ANSWERED;
-        mPassing = mStreaming && head.isSuccess() && signed;
-        if (mPassing) {
-            runOnEventLoop(() -> mSink.onHead(this, head));
+        boolean answered = EndpointProtocol.attemptOutcome(head) == AttemptOutcome.ANSWERED;
+        mPassThrough = mStreaming && head.isSuccess() && answered;
+        if (mPassThrough) {
+            runOnEventLoop(() -> mListener.onHead(this, head));
         }
     }
 
     @Override
     public void onData(byte[] data) {
-        if (mPassing) {
-            runOnEventLoop(() -> mSink.onChunk(this, data));
+        if (mPassThrough) {
+            runOnEventLoop(() -> mListener.onChunk(this, data));
         } else {
             mBody.writeBytes(data);
         }
@@ -78,15 +79,15 @@
     @Override
     public void onEnd() {
         HttpResponseHead head = mHead;
-        AttemptOutcome end =
+        AttemptOutcome outcome =
                 head == null ? AttemptOutcome.LOST : EndpointProtocol.attemptOutcome(head);
-        runOnEventLoop(() -> mSink.onEnd(this, end));
+        runOnEventLoop(() -> mListener.onEnd(this, outcome));
     }
 
     @Override
     public void onFailure(boolean sent, String detail) {
         mDetail = detail;
-        AttemptOutcome end = sent ? AttemptOutcome.LOST : AttemptOutcome.UNREACHABLE;
-        runOnEventLoop(() -> mSink.onEnd(this, end));
+        AttemptOutcome outcome = sent ? AttemptOutcome.LOST : AttemptOutcome.UNREACHABLE;
+        runOnEventLoop(() -> mListener.onEnd(this, outcome));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EndpointExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EndpointExchange.java
@@ -9,22 +9,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request to an endpoint, as far as calls and samples have it in common.
+ * An HTTP request to an endpoint: the common part of calls and sample runs.
  *
- * <p>The I/O thread takes the answer in and tells the entry's duty of it; the duty sets and cancels
- * the exchange.
+ * <p>The I/O thread receives the response and forwards it to the entry's event loop; only the event
+ * loop sets and cancels the exchange.
  */
 abstract class EndpointExchange implements HttpResponseListener {
     private final Executor mExecutor;
     private @Nullable HttpExchange mExchange;
 
-    /** The head of the answer; null until it has arrived. */
+    /** The head of the response; null until it has arrived. */
     @Nullable HttpResponseHead mHead;
 
     /**
-     * Prepares a request.
+     * Creates the exchange before its request is sent.
      *
-     * @param executor runs what is told on the entry's duty
+     * @param executor runs tasks on the entry's event loop
      */
     EndpointExchange(Executor executor) {
         mExecutor = executor;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Adds to a line which connection carried the request. */
+    /** Adds the ID and the use of the request's connection to a log line. */
     final LogLine withConnection(LogLine line) {
         ConnectionUse use = connectionUse();
         return line.with("connection", use.connection())
@@ -52,7 +52,7 @@
                 .with("connection_idle_ms", use.idleMillis());
     }
 
-    /** Tells the entry's duty. */
+    /** Runs a task on the entry's event loop. */
     final void runOnEventLoop(Runnable task) {
         mExecutor.execute(task);
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLease.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLease.java
@@ -12,25 +12,29 @@
 import org.ebonyrun.ports.store.StoreLease;
 
 /**
- * The one lease of an entry, under which stand all keys that say what it owns.
+ * The single lease of an entry, to which all of its ownership keys in the shared store are
+ * attached.
  *
- * <p>Invariant: {@link #isValid} counts from the moment at which the call that granted or renewed
- * the lease was sent, so this entry never counts on it longer than the store does. A lease is taken
- * when something is to be owned, and kept for a while after nothing is.
+ * <p>Invariant: {@link #isValid} measures from the moment at which the request that granted or
+ * renewed the lease was sent, so the entry never treats the lease as valid for longer than the
+ * store does. The lease is acquired when the entry is about to own something, and kept for a while
+ * after it owns nothing.
  *
- * <p>Not thread safe; every callback and method runs on the duty behind {@code executor}.
+ * <p>Not thread safe; every callback and method runs on the event loop behind {@code executor}.
  */
 final class EntryLease {
     /** Time to live of the lease, in milliseconds. */
     static final long TTL_MILLIS = 2_500;
 
-    // Leaves time for three tries that get no answer and one that does.
+    // Leaves time, before the lease expires, for three renewals that get no response and one that
+    // does.
     private static final long RENEW_NANOS = Nanos.ofMillis(800);
     private static final long RETRY_NANOS = Nanos.ofMillis(50);
-    // How long the lease is kept for the next step after nothing is owned any more. A new one
-    // costs one call and an exchange before the step is accepted, a renewal costs one call.
-    private static final long KEEP_NANOS = Nanos.ofMillis(2_000);
-    private static final int GRANT_TRIES = 3;
+    // How long an unused lease is kept for the next step. Granting a new lease costs one call to
+    // the store and delays the acceptance of the step by a round trip; a renewal only costs one
+    // call.
+    private static final long IDLE_RETENTION_NANOS = Nanos.ofMillis(2_000);
+    private static final int MAX_GRANT_ATTEMPTS = 3;
 
     private final SharedStore mStore;
     private final Executor mExecutor;
@@ -40,9 +44,9 @@
     private long mId;
     private long mExpiresAt;
     private long mNextRenewAt;
-    private boolean mCalling;
-    private long mNeededAt;
-    private int mGrantTries;
+    private boolean mCallPending;
+    private long mLastNeededAt;
+    private int mGrantAttempts;
 
     EntryLease(SharedStore store, Executor executor, EventLog log, Runnable onLost) {
         mStore = store;
@@ -51,50 +55,50 @@
         mOnLost = onLost;
     }
 
-    /** Returns the lease's number; zero if there is none. */
+    /** Returns the ID of the lease; zero if there is none. */
     long id() {
         return mId;
     }
 
-    /** Returns whether the store certainly has the lease. */
+    /** Returns whether the lease certainly still exists in the store. */
     boolean isValid(long now) {
         return mId != 0 && now - mExpiresAt < 0;
     }
 
-    /** Gives {@code use} the number of a valid lease, or zero if none can be had. */
+    /** Passes the ID of a valid lease to {@code use}, or zero if the store grants none. */
     void acquire(LongConsumer use, long now) {
         if (isValid(now)) {
             use.accept(mId);
             return;
         }
         mWaiters.add(use);
-        mNeededAt = now;
-        if (!mCalling) {
-            mGrantTries = 0;
+        mLastNeededAt = now;
+        if (!mCallPending) {
+            mGrantAttempts = 0;
             grant(now);
         }
     }
 
-    /** Renews the lease while {@code needed}. */
+    /** Renews the lease in time while it is {@code needed}, and for a while after. */
     void onTick(boolean needed, long now) {
         if (needed) {
-            mNeededAt = now;
+            mLastNeededAt = now;
         }
-        if (mId == 0 || mCalling || now - mNextRenewAt < 0) {
+        if (mId == 0 || mCallPending || now - mNextRenewAt < 0) {
             return;
         }
-        if (now - mNeededAt > KEEP_NANOS) {
+        if (now - mLastNeededAt > IDLE_RETENTION_NANOS) {
             if (now - mExpiresAt >= 0) {
                 mId = 0;
             }
             return;
         }
-        mCalling = true;
+        mCallPending = true;
         long id = mId;
         mStore.renew(id).thenAcceptAsync(result -> onRenewed(id, result, now), mExecutor);
     }
 
-    /** Ends the lease, which removes all keys under it. */
+    /** Ends the lease in the store, which removes all keys attached to it. */
     void release() {
         if (mId != 0) {
             mStore.revoke(mId);
@@ -103,13 +107,13 @@
     }
 
     private void grant(long now) {
-        mCalling = true;
+        mCallPending = true;
         mStore.grant(TTL_MILLIS).thenAcceptAsync(result -> onGranted(result, now), mExecutor);
     }
 
     private void onGranted(Result<StoreLease> result, long sentAt) {
-        mCalling = false;
-        if (!result.isOk() && ++mGrantTries < GRANT_TRIES) {
+        mCallPending = false;
+        if (!result.isOk() && ++mGrantAttempts < MAX_GRANT_ATTEMPTS) {
             grant(System.nanoTime());
             return;
         }
@@ -132,7 +136,7 @@
     }
 
     private void onRenewed(long id, Result<Boolean> result, long sentAt) {
-        mCalling = false;
+        mCallPending = false;
         if (id != mId) {
             return;
         }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLimits.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLimits.java
@@ -6,14 +6,15 @@
 import org.ebonyrun.core.settings.ValueParser;
 
 /**
- * Times within which a deployment wants things done, all in milliseconds.
+ * Time limits of a deployment, all in milliseconds.
  *
- * @param orderQuietMillis how long orders of another planner count
- * @param graceMillis how long a graceful stop may take
- * @param keepMillis how long the results of a step are kept after its submission
- * @param configMillis within which time a changed configuration is in force
- * @param leavingMillis within which time an endpoint that leaves gets no more work
- * @param contactMillis after which time an entry that was cut off from the store must be up to date
+ * @param orderQuietPeriodMillis how long a weight order of another planner may still take effect
+ * @param gracePeriodMillis the longest time that a graceful stop may take
+ * @param retentionMillis how long the results of a step are kept after its submission
+ * @param configDelayMillis the longest time until a changed configuration takes effect
+ * @param leavingDelayMillis the longest time until a draining endpoint gets no more work
+ * @param catchUpMillis the longest time until an entry that was cut off from the shared store is up
+ *     to date again
  */
 public record EntryLimits(
         long orderQuietPeriodMillis,
@@ -22,11 +23,11 @@
         long configDelayMillis,
         long leavingDelayMillis,
         long catchUpMillis) {
-    /** What holds where the settings say nothing. */
+    /** The defaults for limits that the settings omit. */
     public static final EntryLimits DEFAULT =
             new EntryLimits(3_000, 8_000, 120_000, 2_000, 2_000, 3_000);
 
-    /** Checks the limits. */
+    /** Checks that the last three limits are positive. */
     public EntryLimits {
         checkArgument(
                 configDelayMillis > 0, "config_within is not positive: %s", configDelayMillis);
@@ -35,7 +36,7 @@
         checkArgument(catchUpMillis > 0, "contact_within is not positive: %s", catchUpMillis);
     }
 
-    /** Reads limits; what is missing or can't be read has its default. */
+    /** Reads limits; a limit that is missing or unreadable has its default value. */
     static EntryLimits read(SettingsNode node) {
         return new EntryLimits(
                 node.get("order_quiet")
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryMetrics.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryMetrics.java
@@ -16,51 +16,51 @@
 import java.util.TreeMap;
 
 /**
- * Counts what an entry does, and writes it in the Prometheus text format when it is asked.
+ * The counters of an entry, exported in the Prometheus text format.
  *
- * <p>Counts are plain numbers until then, so that a process that nobody asks loads nothing for
- * them.
+ * <p>Values are plain numbers until they are scraped, so a process that is never scraped does not
+ * load the classes of the metrics library.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class EntryMetrics {
-    /** Calls of people and scores, by how they ended. */
+    /** Calls of callers and calls that score samples, by outcome. */
     static final String CALLS = "ebonyrun_entry_calls";
 
-    /** Sends of calls, by how they ended. */
+    /** Attempts of calls, by outcome. */
     static final String ATTEMPTS = "ebonyrun_entry_call_attempts";
 
-    /** Runs of samples, by how they ended. */
+    /** Runs of samples, by outcome. */
     static final String SAMPLE_RUNS = "ebonyrun_entry_sample_runs";
 
-    /** Steps, by what happened to them. */
+    /** Events of steps, by kind. */
     static final String STEPS = "ebonyrun_entry_steps";
 
-    /** Answers that no request could take, by the reason. */
+    /** Unsolicited and late responses that were dropped, by reason. */
     static final String DROPPED_ANSWERS = "ebonyrun_entry_dropped_answers";
 
-    /** Orders to endpoints, by the answer. */
+    /** Weight orders to endpoints, by reply. */
     static final String ORDERS = "ebonyrun_entry_orders";
 
     private static final String STORE_CALLS = "ebonyrun_entry_store_calls";
     private static final String CALL_SECONDS = "ebonyrun_entry_call_seconds";
-    private static final double[] BOUNDS = {
+    private static final double[] BUCKET_BOUNDS = {
         0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, Double.POSITIVE_INFINITY
     };
 
     private final Map<String, Map<String, Long>> mCounts = new TreeMap<>();
-    private final long[] mCallBuckets = new long[BOUNDS.length];
+    private final long[] mCallBuckets = new long[BUCKET_BOUNDS.length];
     private double mCallSeconds;
 
-    /** Counts one event. */
-    void count(String metric, String end) {
-        mCounts.computeIfAbsent(metric, name -> new TreeMap<>()).merge(end, 1L, Long::sum);
+    /** Increments the counter of a metric for an outcome. */
+    void count(String metric, String outcome) {
+        mCounts.computeIfAbsent(metric, name -> new TreeMap<>()).merge(outcome, 1L, Long::sum);
     }
 
-    /** Notes how long a call took until its end. */
+    /** Records the duration of a call. */
     void recordCallSeconds(double seconds) {
         int bucket = 0;
-        while (seconds > BOUNDS[bucket]) {
+        while (seconds > BUCKET_BOUNDS[bucket]) {
             bucket++;
         }
         mCallBuckets[bucket]++;
@@ -68,14 +68,14 @@
     }
 
     /**
-     * Returns all metrics as text.
+     * Returns all metrics in the Prometheus text format.
      *
-     * @param gauges values that are read at this moment, by name
-     * @param storeCalls calls to the shared store, by kind
+     * @param gauges current values of the gauges, by metric name
+     * @param storeCalls the number of calls to the shared store, by kind
      */
     byte[] format(Map<String, Double> gauges, Map<String, Long> storeCalls) {
         List<MetricSnapshot> snapshots = new ArrayList<>();
-        mCounts.forEach((name, ends) -> snapshots.add(counter(name, "end", ends)));
+        mCounts.forEach((name, outcomes) -> snapshots.add(counter(name, "end", outcomes)));
         snapshots.add(counter(STORE_CALLS, "kind", storeCalls));
         gauges.forEach((name, value) -> snapshots.add(gauge(name, value)));
         snapshots.add(callSeconds());
@@ -83,7 +83,7 @@
         try {
             new PrometheusTextFormatWriter(false).write(out, new MetricSnapshots(snapshots));
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory failed", e);
+            throw new IllegalStateException("writing metrics to memory failed", e);
         }
         return out.toByteArray();
     }
@@ -109,8 +109,8 @@
 
     private HistogramSnapshot callSeconds() {
         ClassicHistogramBuckets.Builder buckets = ClassicHistogramBuckets.builder();
-        for (int i = 0; i < BOUNDS.length; i++) {
-            buckets.bucket(BOUNDS[i], mCallBuckets[i]);
+        for (int i = 0; i < BUCKET_BOUNDS.length; i++) {
+            buckets.bucket(BUCKET_BOUNDS[i], mCallBuckets[i]);
         }
         return HistogramSnapshot.builder()
                 .name(CALL_SECONDS)
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
@@ -26,9 +26,10 @@
 import org.ebonyrun.ports.store.CommitResult;
 
 /**
- * Answers callers: finds the route of each request and passes it to the part that serves it.
+ * Handles the HTTP requests of callers and trainers: finds the route of each request, dispatches it
+ * to the component that serves it, and sends the response.
  *
- * <p>Not thread safe but for {@link #listener}; confined to the entry's duty.
+ * <p>Confined to the entry's event loop, except for {@link #listener}, which is thread safe.
  */
 final class FrontHandler implements StepReader.ReadResponder {
     private static final int OK = 200;
@@ -38,27 +39,27 @@
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final long RETRY_AFTER_MILLIS = 300;
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
-    private final HostedContext mParts;
+    private final HostedContext mContext;
     private final CallController mCalls;
-    private final StepOwnership mSteps;
-    private final StepStore mStore;
+    private final StepOwnership mStepOwnership;
+    private final StepStore mStepStore;
     private final Supplier<RouteTable> mRoutes;
     private final RandomGenerator mRandom;
     private StepReader mReader;
 
     FrontHandler(
-            HostedContext parts,
+            HostedContext context,
             CallController calls,
-            StepOwnership steps,
-            StepStore store,
+            StepOwnership stepOwnership,
+            StepStore stepStore,
             Supplier<RouteTable> routes,
             RandomGenerator random) {
-        mParts = parts;
+        mContext = context;
         mCalls = calls;
-        mSteps = steps;
-        mStore = store;
+        mStepOwnership = stepOwnership;
+        mStepStore = stepStore;
         mRoutes = routes;
         mRandom = random;
     }
@@ -67,7 +68,7 @@
         mReader = reader;
     }
 
-    /** Returns a listener that brings requests from the I/O thread to the duty. */
+    /** Returns a listener that forwards requests from the I/O thread to the event loop. */
     FrontListener listener(Executor executor) {
         return new FrontListener() {
             @Override
@@ -86,7 +87,7 @@
         RouteTable routes = mRoutes.get();
         String id = FrontProtocol.requestId(exchange.headers()).orElse("");
         if (!routes.isConfigured()) {
-            refuse(exchange, id, "no configuration is known");
+            refuse(exchange, id, "no configuration has been read yet");
             return;
         }
         FrontCall call = FrontCall.decode(exchange.method(), exchange.target(), exchange.headers());
@@ -95,19 +96,19 @@
         } else if (call instanceof FrontCall.ReadSample read) {
             mReader.readSample(read.step(), read.sample(), exchange);
         } else if (call instanceof FrontCall.EndStep end) {
-            end(exchange, end.step());
+            endStep(exchange, end.step());
         } else if (call instanceof FrontCall.Routed routed) {
-            route(exchange, id, routes, routed.path());
+            dispatch(exchange, id, routes, routed.path());
         } else {
             sendNotFound(exchange, "step");
         }
     }
 
-    private void route(FrontExchange exchange, String id, RouteTable routes, String path) {
+    private void dispatch(FrontExchange exchange, String id, RouteTable routes, String path) {
         String host = FrontProtocol.host(exchange.headers());
         Optional<Route> route = routes.find(host, path);
         if (route.isEmpty()) {
-            mParts.log()
+            mContext.log()
                     .write(
                             LogLine.of("call.unrouted")
                                     .with("request", id)
@@ -116,13 +117,13 @@
                                     .with("config", routes.version()));
             sendNotFound(exchange, "route");
         } else if (route.get().kind() == RouteKind.STEPS) {
-            submit(exchange, id, host, route.get());
+            submitStep(exchange, id, host, route.get());
         } else {
-            call(exchange, id, route.get());
+            startCall(exchange, id, route.get());
         }
     }
 
-    private void call(FrontExchange exchange, String id, Route route) {
+    private void startCall(FrontExchange exchange, String id, Route route) {
         long now = System.nanoTime();
         long timeout = route.call().timeoutMillis();
         long deadline = FrontProtocol.deadlineMillis(exchange.headers(), timeout);
@@ -139,30 +140,30 @@
         mCalls.onCall(spec, exchange, now);
     }
 
-    private void submit(FrontExchange exchange, String id, String host, Route route) {
+    private void submitStep(FrontExchange exchange, String id, String host, Route route) {
         StepSpec spec;
         try {
             spec = StepDecoder.decode(StepId.of(id), host, route.prefix(), exchange.body());
         } catch (IllegalArgumentException e) {
-            mParts.log()
+            mContext.log()
                     .write(
                             LogLine.of("step.malformed")
                                     .with("step", id)
                                     .with("why", e.getMessage()));
-            exchange.respond(BAD_REQUEST, FrontProtocol.requestIdHeaders(id), NOTHING);
+            exchange.respond(BAD_REQUEST, FrontProtocol.requestIdHeaders(id), EMPTY_BODY);
             return;
         }
-        StepStatus known = mParts.directory().get(spec.id());
+        StepStatus known = mContext.directory().get(spec.id());
         if (known != null && known.mManifest != null) {
-            exchange.respond(ACCEPTED, FrontProtocol.requestIdHeaders(id), NOTHING);
+            exchange.respond(ACCEPTED, FrontProtocol.requestIdHeaders(id), EMPTY_BODY);
             return;
         }
-        if (mParts.isStoreUnavailable()) {
-            refuse(exchange, id, "the shared store does not answer");
+        if (mContext.isStoreUnavailable()) {
+            refuse(exchange, id, "the shared store is unavailable");
             return;
         }
         mReader.onSubmitted(spec);
-        mSteps.accept(
+        mStepOwnership.accept(
                 spec,
                 route,
                 exchange.body(),
@@ -173,64 +174,65 @@
     private void onAccepted(FrontExchange exchange, String id, Result<Boolean> result) {
         result.fold(
                 accepted -> {
-                    exchange.respond(ACCEPTED, FrontProtocol.requestIdHeaders(id), NOTHING);
+                    exchange.respond(ACCEPTED, FrontProtocol.requestIdHeaders(id), EMPTY_BODY);
                     return accepted;
                 },
                 fault -> {
-                    mParts.log()
+                    mContext.log()
                             .write(
                                     LogLine.of("step.refused")
                                             .with("step", id)
                                             .with("outcome", fault.outcome())
                                             .with("why", fault.detail()));
-                    answerFault(exchange, id, fault);
+                    respondFault(exchange, id, fault);
                     return false;
                 });
     }
 
-    /** Says "not run" only when the store certainly did nothing. */
-    private static void answerFault(FrontExchange exchange, String id, Fault fault) {
+    /** Responds that nothing ran only if the store certainly did nothing. */
+    private static void respondFault(FrontExchange exchange, String id, Fault fault) {
         if (fault.isNotRun()) {
             HttpHeaders headers = FrontProtocol.retryAfterHeaders(id, RETRY_AFTER_MILLIS);
-            exchange.respond(UNAVAILABLE, headers, NOTHING);
+            exchange.respond(UNAVAILABLE, headers, EMPTY_BODY);
         } else {
-            exchange.respond(GATEWAY_TIMEOUT, FrontProtocol.requestIdHeaders(id), NOTHING);
+            exchange.respond(GATEWAY_TIMEOUT, FrontProtocol.requestIdHeaders(id), EMPTY_BODY);
         }
     }
 
     private void refuse(FrontExchange exchange, String id, String why) {
-        mParts.log().write(LogLine.of("call.refused").with("request", id).with("why", why));
+        mContext.log().write(LogLine.of("call.refused").with("request", id).with("why", why));
         exchange.respond(
-                UNAVAILABLE, FrontProtocol.retryAfterHeaders(id, RETRY_AFTER_MILLIS), NOTHING);
+                UNAVAILABLE, FrontProtocol.retryAfterHeaders(id, RETRY_AFTER_MILLIS), EMPTY_BODY);
     }
 
-    private void end(FrontExchange exchange, StepId step) {
-        StepStatus known = mParts.directory().get(step);
+    private void endStep(FrontExchange exchange, StepId step) {
+        StepStatus known = mContext.directory().get(step);
         if (known != null && known.mDone) {
-            // Nothing runs that the end could stop.
-            mParts.log().write(LogLine.of("step.end").with("step", step).with("done", true));
-            exchange.respond(OK, HttpHeaders.empty(), NOTHING);
+            // A finished step has no runs left to stop.
+            mContext.log().write(LogLine.of("step.end").with("step", step).with("done", true));
+            exchange.respond(OK, HttpHeaders.empty(), EMPTY_BODY);
             return;
         }
         mReader.withManifest(
                 step,
                 exchange,
                 manifest ->
-                        mStore.markEnded(step)
+                        mStepStore
+                                .markEnded(step)
                                 .thenAcceptAsync(
-                                        result -> onEnded(exchange, step, result),
-                                        mParts.executor()));
+                                        result -> onStepEnded(exchange, step, result),
+                                        mContext.executor()));
     }
 
-    private void onEnded(FrontExchange exchange, StepId step, Result<CommitResult> result) {
+    private void onStepEnded(FrontExchange exchange, StepId step, Result<CommitResult> result) {
         result.fold(
                 commit -> {
-                    mParts.log().write(LogLine.of("step.end").with("step", step));
-                    exchange.respond(OK, HttpHeaders.empty(), NOTHING);
+                    mContext.log().write(LogLine.of("step.end").with("step", step));
+                    exchange.respond(OK, HttpHeaders.empty(), EMPTY_BODY);
                     return commit;
                 },
                 fault -> {
-                    answerFault(exchange, "", fault);
+                    respondFault(exchange, "", fault);
                     return null;
                 });
     }
@@ -247,12 +249,13 @@
 
     @Override
     public void sendNotFound(FrontExchange to, String what) {
-        to.respond(NOT_FOUND, HttpHeaders.empty(), NOTHING);
+        to.respond(NOT_FOUND, HttpHeaders.empty(), EMPTY_BODY);
     }
 
     @Override
     public void sendFault(FrontExchange to, Fault fault) {
-        mParts.log().write(LogLine.of("read.unsure").with("why", fault.detail()));
-        to.respond(UNAVAILABLE, FrontProtocol.retryAfterHeaders("", RETRY_AFTER_MILLIS), NOTHING);
+        mContext.log().write(LogLine.of("read.unsure").with("why", fault.detail()));
+        to.respond(
+                UNAVAILABLE, FrontProtocol.retryAfterHeaders("", RETRY_AFTER_MILLIS), EMPTY_BODY);
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedContext.java
@@ -11,22 +11,22 @@
 import org.ebonyrun.ports.store.StoreItem;
 
 /**
- * What the parts of an entry share.
+ * Gives the components of an entry access to what they share.
  *
- * <p>Called on the entry's duty, but for {@link #executor} and {@link #policy}, which are thread
- * safe.
+ * <p>Must be called on the entry's event loop, except for {@link #executor} and {@link #policy},
+ * which are thread safe.
  */
 interface HostedContext {
-    /** Runs tasks on the entry's duty. */
+    /** Returns an executor that runs tasks on the entry's event loop. */
     Executor executor();
 
-    /** Returns which mechanisms are used; the same for the whole life of the process. */
+    /** Returns which mechanisms are enabled; constant for the life of the process. */
     Policy policy();
 
-    /** Runs a task on the entry's duty after a time. */
+    /** Schedules a task to run on the entry's event loop after a delay. */
     void schedule(long nanos, Runnable task);
 
-    /** Returns whether the shared store does not answer. */
+    /** Returns whether the shared store is unavailable. */
     boolean isStoreUnavailable();
 
     /** Returns the log. */
@@ -38,13 +38,17 @@
     /** Returns the entry's lease. */
     EntryLease lease();
 
-    /** Returns what is known of steps. */
+    /** Returns the directory of the steps in the shared store. */
     StepDirectory directory();
 
-    /** Returns the name under which this process owns keys. */
+    /** Returns the name that this process writes into the keys that it owns. */
     ProcessName self();
 
-    /** Returns the revision of a step's owner key if this process wrote it; zero if not. */
+    /**
+     * Returns the revision of a step's owner key if this process wrote the key; zero otherwise.
+     *
+     * @param commit a commit whose current items are searched for the key
+     */
     default long ownRevision(CommitResult commit, StepId id) {
         String key = StoreKeys.liveKey(id, StoreKeys.OWNER);
         for (StoreItem item : commit.current()) {
@@ -55,12 +59,16 @@
         return 0;
     }
 
-    /** Returns whether a configuration is known. */
+    /** Returns whether a configuration has been read. */
     boolean hasConfiguration();
 
-    /** Returns the route of a stored step; empty if the configuration that is known has none. */
+    /** Returns the route of a stored step; empty if the current configuration has none for it. */
     Optional<Route> routeOf(StepManifest manifest);
 
-    /** Takes the newest configuration in, and then tells whether it is in force here. */
+    /**
+     * Reads the newest configuration from the shared store and applies it.
+     *
+     * @param then receives whether the read succeeded and a configuration is in force
+     */
     void refreshRoutes(Consumer<Boolean> then);
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -48,33 +48,37 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An entry that reaches endpoints and the shared store itself.
+ * An entry that calls endpoints and the shared store directly, without agents.
  *
- * <p>One I/O thread reads and writes all sockets; one duty holds all state and takes all decisions;
- * a bounded ring joins them. Thread safe: {@link #drain} may be called from any thread.
+ * <p>One I/O thread reads and writes all sockets. One event loop owns all state and makes all
+ * decisions; it receives tasks through a bounded ring. Thread safe: {@link #drain} may be called
+ * from any thread.
  */
 public final class HostedEntry implements HostedContext, EventHandler<Runnable>, Closeable {
-    private static final int RING = 16_384;
+    private static final int RING_CAPACITY = 16_384;
     private static final long TICK_NANOS = Nanos.ofMillis(20);
     private static final long SWEEP_NANOS = Nanos.ofMillis(500);
-    // Longest silence of the store after which the entry asks callers to go elsewhere.
-    private static final long STORE_SILENCE_NANOS = Nanos.ofMillis(1_500);
-    private static final long DRAIN_STEP_MILLIS = 50;
-    // Callers may still arrive until the platform has noticed that the entry is not ready.
-    private static final long DRAIN_QUIET_NANOS = Nanos.ofMillis(1_000);
-    private static final long DRAIN_LEAST_NANOS = Nanos.ofMillis(3_000);
-    // Part of the grace period in which steps may still be finished here.
-    private static final double FINISH_SHARE = 0.5;
-    private static final double DRAIN_SHARE = 0.85;
-
-    /** A task for later. */
-    private record Timed(long at, Runnable task) {}
+    // After an outage of the store of this length, the entry reports that it is not ready, so that
+    // callers are sent to another entry.
+    private static final long MAX_STORE_OUTAGE_NANOS = Nanos.ofMillis(1_500);
+    private static final long DRAIN_POLL_MILLIS = 50;
+    // New requests may still arrive until the platform has seen that the entry is not ready.
+    private static final long DRAIN_IDLE_NANOS = Nanos.ofMillis(1_000);
+    private static final long MIN_DRAIN_NANOS = Nanos.ofMillis(3_000);
+    // Fraction of the grace period in which steps may still finish here; after it, they are handed
+    // over.
+    private static final double FINISH_FRACTION = 0.5;
+    // Fraction of the grace period that the drain may take in all.
+    private static final double DRAIN_FRACTION = 0.85;
+
+    /** A task that is due at a time of the monotonic clock. */
+    private record ScheduledTask(long at, Runnable task) {}
 
     private volatile HostedSettings mSettings;
     private final EventLog mLog;
-    private final EventLoop<Runnable> mDuty;
-    private final ProcessName mSelf;
-    private final PriorityQueue<Timed> mLater =
+    private final EventLoop<Runnable> mEventLoop;
+    private final ProcessName mProcessName;
+    private final PriorityQueue<ScheduledTask> mScheduledTasks =
             new PriorityQueue<>((a, b) -> Long.signum(a.at() - b.at()));
     private final EntryMetrics mMetrics = new EntryMetrics();
     private final Fleet mFleet = Fleet.create();
@@ -83,12 +87,12 @@
     private final List<StoreWatch> mWatches = new ArrayList<>();
     private final CallController mCalls;
     private final SampleController mSamples;
-    private final StepOwnership mSteps;
-    private final StepReader mReader;
+    private final StepOwnership mStepOwnership;
+    private final StepReader mStepReader;
     private final PlannerController mPlanner;
-    private final FrontHandler mFrontDesk;
+    private final FrontHandler mFront;
     private final TCPNIOTransport mTransport;
-    private final FrontServer mFront;
+    private final FrontServer mFrontServer;
     private volatile RouteTable mRoutes = RouteTable.empty();
     private volatile FrontLimits mLimits = FrontLimits.DEFAULT;
     private volatile boolean mReady;
@@ -96,53 +100,55 @@
     private volatile int mOwnedSteps;
     private final InstrumentedStore mStore;
     private final StoreHealth mHealth = new StoreHealth(healthListener());
-    private long mSweepAt;
+    private long mNextSweepAt;
 
     private HostedEntry(HostedSettings settings, EventLog log) throws IOException {
         mSettings = settings;
         mLog = log;
-        mSelf = new ProcessName(settings.vm(), new Random().nextLong());
-        mDuty = EventLoop.create("entry", RING, this, MonotonicClock.system(), TICK_NANOS);
+        mProcessName = new ProcessName(settings.vm(), new Random().nextLong());
+        mEventLoop =
+                EventLoop.create("entry", RING_CAPACITY, this, MonotonicClock.system(), TICK_NANOS);
         mTransport = transport();
-        AsyncHttpClient caller = AsyncHttpClient.usingTransport(mTransport, this::onDroppedAnswer);
+        AsyncHttpClient client =
+                AsyncHttpClient.usingTransport(mTransport, this::onDroppedResponse);
         mStore =
                 new InstrumentedStore(
-                        StoreClient.create(settings.store(), caller),
+                        StoreClient.create(settings.store(), client),
                         fault -> executor().execute(() -> mHealth.onCallFault(System.nanoTime())));
         StepStore stepStore = new StepStore(mStore);
         Random random = new Random();
         mDirectory = new StepDirectory(log);
         mLease = new EntryLease(mStore, executor(), log, this::onLeaseLost);
-        mCalls = new CallController(this, caller, mFleet, settings.domain());
+        mCalls = new CallController(this, client, mFleet, settings.domain());
         mSamples =
                 new SampleController(
-                        this, caller, mFleet, (host, path) -> mRoutes.find(host, path));
-        mSteps = new StepOwnership(this, stepStore, mSamples.machine(), random);
+                        this, client, mFleet, (host, path) -> mRoutes.find(host, path));
+        mStepOwnership = new StepOwnership(this, stepStore, mSamples.machine(), random);
         mPlanner =
                 new PlannerController(
-                        this, caller, mStore, stepStore, mFleet, () -> mSettings, random);
-        mFrontDesk = new FrontHandler(this, mCalls, mSteps, stepStore, () -> mRoutes, random);
-        mReader = new StepReader(this, mStore, stepStore, mSteps, mFrontDesk);
-        mFrontDesk.setReader(mReader);
-        mSamples.bind(mCalls, mSteps, mReader);
+                        this, client, mStore, stepStore, mFleet, () -> mSettings, random);
+        mFront = new FrontHandler(this, mCalls, mStepOwnership, stepStore, () -> mRoutes, random);
+        mStepReader = new StepReader(this, mStore, stepStore, mStepOwnership, mFront);
+        mFront.setReader(mStepReader);
+        mSamples.bind(mCalls, mStepOwnership, mStepReader);
         mWatches.add(
                 watch(
                         OperatorDecoder.PREFIX,
                         () -> WatchTimings.forOperatorKeys(mSettings.limits(), isIdle()),
-                        items -> items.forEach(this::onOperator),
-                        change -> onOperator(change.item())));
+                        items -> items.forEach(this::onOperatorItem),
+                        change -> onOperatorItem(change.item())));
         mWatches.add(
                 watch(
                         EndpointDecoder.PREFIX,
                         () -> WatchTimings.forEndpointKeys(mSettings.limits(), isIdle()),
-                        this::onEndpoints,
-                        this::onEndpoint));
+                        this::onEndpointSnapshot,
+                        this::onEndpointChange));
         mWatches.add(
                 watch(
                         StoreKeys.LIVE_PREFIX,
                         () -> WatchTimings.forStepKeys(mSettings.limits(), isIdle()),
-                        this::onAllLive,
-                        this::onLiveChange));
+                        this::onStepSnapshot,
+                        this::onStepChange));
         mTransport.start();
         FrontServer.bind(
                 mTransport, settings.ready(), new ReadinessHandler(() -> mReady), () -> mLimits);
@@ -151,12 +157,9 @@
                 settings.metrics(),
                 new MetricsHandler(executor(), () -> mMetrics.format(gauges(), mStore.counts())),
                 () -> mLimits);
-        mFront =
+        mFrontServer =
                 FrontServer.bind(
-                        mTransport,
-                        settings.front(),
-                        mFrontDesk.listener(executor()),
-                        () -> mLimits);
+                        mTransport, settings.front(), mFront.listener(executor()), () -> mLimits);
     }
 
     /**
@@ -166,12 +169,12 @@
      */
     public static HostedEntry start(HostedSettings settings, EventLog log) throws IOException {
         HostedEntry entry = new HostedEntry(settings, log);
-        entry.mDuty.launch();
+        entry.mEventLoop.launch();
         entry.executor().execute(() -> entry.mWatches.forEach(StoreWatch::start));
         log.write(
                 LogLine.of("start")
                         .with("vm", settings.vm())
-                        .with("process", entry.mSelf.format())
+                        .with("process", entry.mProcessName.format())
                         .with("left_out", settings.policy().disabled()));
         return entry;
     }
@@ -193,7 +196,7 @@
 
     @Override
     public Executor executor() {
-        return mDuty::post;
+        return mEventLoop::post;
     }
 
     @Override
@@ -203,7 +206,7 @@
 
     @Override
     public void schedule(long nanos, Runnable task) {
-        mLater.add(new Timed(System.nanoTime() + nanos, task));
+        mScheduledTasks.add(new ScheduledTask(System.nanoTime() + nanos, task));
     }
 
     @Override
@@ -219,7 +222,7 @@
     private Map<String, Double> gauges() {
         Map<String, Double> gauges = new TreeMap<>();
         gauges.put("ebonyrun_entry_open_calls", (double) mCalls.openCalls());
-        gauges.put("ebonyrun_entry_owned_steps", (double) mSteps.size());
+        gauges.put("ebonyrun_entry_owned_steps", (double) mStepOwnership.size());
         gauges.put("ebonyrun_entry_running_samples", (double) mSamples.machine().runningSamples());
         gauges.put("ebonyrun_entry_endpoints", (double) mFleet.all().size());
         gauges.put("ebonyrun_entry_config_version", (double) mRoutes.version());
@@ -247,7 +250,7 @@
 
     @Override
     public ProcessName self() {
-        return mSelf;
+        return mProcessName;
     }
 
     @Override
@@ -269,7 +272,7 @@
                             boolean read =
                                     result.fold(
                                             item -> {
-                                                onOperator(item.orElse(null));
+                                                onOperatorItem(item.orElse(null));
                                                 return true;
                                             },
                                             fault -> false);
@@ -285,28 +288,28 @@
 
     @Override
     public void onTick(long now) {
-        while (!mLater.isEmpty() && now - mLater.peek().at() >= 0) {
-            mLater.poll().task().run();
+        while (!mScheduledTasks.isEmpty() && now - mScheduledTasks.peek().at() >= 0) {
+            mScheduledTasks.poll().task().run();
         }
         mHealth.onTick(now);
         mWatches.forEach(watch -> watch.onTick(now));
-        mLease.onTick(mSteps.needsLease() || mPlanner.isLeaseHolder(), now);
-        mSteps.onTick(mDirectory.ownedOrClaimableBy(mSelf), now);
+        mLease.onTick(mStepOwnership.needsLease() || mPlanner.isLeaseHolder(), now);
+        mStepOwnership.onTick(mDirectory.ownedOrClaimableBy(mProcessName), now);
         mPlanner.onTick(now);
         mSamples.machine().onTick(now);
         mCalls.onTick(now);
-        mReader.onTick(now);
-        if (now - mSweepAt >= 0) {
-            mSweepAt = now + SWEEP_NANOS;
-            mFront.closeExpiredConnections(now);
+        mStepReader.onTick(now);
+        if (now - mNextSweepAt >= 0) {
+            mNextSweepAt = now + SWEEP_NANOS;
+            mFrontServer.closeExpiredConnections(now);
         }
-        mOwnedSteps = mSteps.size();
+        mOwnedSteps = mStepOwnership.size();
         updateReady(now);
     }
 
     private void updateReady(long now) {
         boolean synced = mWatches.stream().allMatch(StoreWatch::isSynced) && mRoutes.isConfigured();
-        boolean reachable = mHealth.outageNanos(now) < STORE_SILENCE_NANOS;
+        boolean reachable = mHealth.outageNanos(now) < MAX_STORE_OUTAGE_NANOS;
         boolean ready = synced && reachable && !mDraining;
         if (ready != mReady) {
             mReady = ready;
@@ -323,35 +326,37 @@
         mPlanner.onLeaseLost();
     }
 
-    private void onDroppedAnswer(DroppedResponse answer) {
+    private void onDroppedResponse(DroppedResponse response) {
         mLog.write(
                 LogLine.of("answer.dropped")
-                        .with("request", answer.awaitedId())
-                        .with("answer_to", EndpointProtocol.requestId(answer.head()))
-                        .with("status", answer.head().status())
-                        .with("reason", answer.reason())
-                        .with("peer", answer.peer())
-                        .with("connection", answer.connectionUse().connection())
-                        .with("connection_requests", answer.connectionUse().requests())
-                        .with("connection_idle_ms", answer.connectionUse().idleMillis()));
+                        .with("request", response.awaitedId())
+                        .with("answer_to", EndpointProtocol.requestId(response.head()))
+                        .with("status", response.head().status())
+                        .with("reason", response.reason())
+                        .with("peer", response.peer())
+                        .with("connection", response.connectionUse().connection())
+                        .with("connection_requests", response.connectionUse().requests())
+                        .with("connection_idle_ms", response.connectionUse().idleMillis()));
         executor()
                 .execute(
-                        () -> mMetrics.count(EntryMetrics.DROPPED_ANSWERS, answer.reason().name()));
+                        () ->
+                                mMetrics.count(
+                                        EntryMetrics.DROPPED_ANSWERS, response.reason().name()));
     }
 
     private boolean isIdle() {
-        return !mSteps.needsLease() && !mPlanner.isLeaseHolder();
+        return !mStepOwnership.needsLease() && !mPlanner.isLeaseHolder();
     }
 
     private StoreWatch watch(
             String prefix,
-            Supplier<StoreWatch.Timing> pace,
+            Supplier<StoreWatch.Timing> timing,
             Consumer<List<StoreItem>> onSnapshot,
             Consumer<StoreChange> onChange) {
         return new StoreWatch(
                 mStore,
                 prefix,
-                pace,
+                timing,
                 executor(),
                 new StoreWatch.Listener() {
                     @Override
@@ -405,8 +410,8 @@
         mHealth.onProbeEnd(round, fault, System.nanoTime());
     }
 
-    /** Takes what the operator wrote in; null if a key was removed, which changes nothing. */
-    private void onOperator(@Nullable StoreItem item) {
+    /** Applies an operator's key; null, for a removed key, has no effect. */
+    private void onOperatorItem(@Nullable StoreItem item) {
         if (item == null) {
             return;
         }
@@ -420,7 +425,7 @@
 
     private void apply(OperatorEvent event) {
         if (event instanceof OperatorEvent.Configured configured) {
-            configure(configured);
+            applyConfiguration(configured);
         } else if (event instanceof OperatorEvent.VersionNamed named) {
             mLog.write(
                     LogLine.of("version.named")
@@ -433,7 +438,7 @@
         }
     }
 
-    private void configure(OperatorEvent.Configured configured) {
+    private void applyConfiguration(OperatorEvent.Configured configured) {
         RouteTable routes = configured.routes();
         if (routes.version() <= mRoutes.version()) {
             return;
@@ -466,20 +471,20 @@
         }
     }
 
-    private void onEndpoints(List<StoreItem> items) {
+    private void onEndpointSnapshot(List<StoreItem> items) {
         List<EndpointRecord> records = new ArrayList<>();
         items.forEach(item -> record(item).ifPresent(records::add));
         mFleet.onSnapshot(records, System.nanoTime());
     }
 
-    private void onEndpoint(StoreChange change) {
+    private void onEndpointChange(StoreChange change) {
         String key = change.key();
         StoreItem item = change.item();
         String id = EndpointDecoder.endpointId(key);
         Optional<EndpointRecord> record = item == null ? Optional.empty() : record(item);
         if (record.isPresent()) {
-            boolean fresh = mFleet.onRecord(record.get());
-            if (fresh || record.get().leaving()) {
+            boolean isNew = mFleet.onRecord(record.get());
+            if (isNew || record.get().leaving()) {
                 mLog.write(
                         LogLine.of("endpoint")
                                 .with("endpoint", id)
@@ -496,18 +501,18 @@
         }
     }
 
-    private void onAllLive(List<StoreItem> items) {
+    private void onStepSnapshot(List<StoreItem> items) {
         mDirectory.onSnapshot(items);
-        items.forEach(item -> onLive(new StoreChange(item.key(), item.revision(), item)));
+        items.forEach(item -> onKeyChange(new StoreChange(item.key(), item.revision(), item)));
     }
 
-    private void onLiveChange(StoreChange change) {
+    private void onStepChange(StoreChange change) {
         mDirectory.onChange(change);
-        onLive(change);
+        onKeyChange(change);
     }
 
-    /** Takes the change of a key in that the directory knows already. */
-    private void onLive(StoreChange change) {
+    /** Handles a changed key after the step directory has been updated. */
+    private void onKeyChange(StoreChange change) {
         String key = change.key();
         if (key.equals(StoreKeys.PLANNER)) {
             mPlanner.onPlannerKeyChanged(change.item(), change.revision());
@@ -517,17 +522,17 @@
             return;
         }
         StepId step = StoreKeys.stepId(key);
-        StepStatus known = mDirectory.get(step);
-        mSteps.onStatusChange(step, known);
-        if (known != null && known.mManifest != null && key.endsWith(StoreKeys.MANIFEST)) {
-            StepManifest manifest = known.mManifest;
+        StepStatus status = mDirectory.get(step);
+        mStepOwnership.onStatusChange(step, status);
+        if (status != null && status.mManifest != null && key.endsWith(StoreKeys.MANIFEST)) {
+            StepManifest manifest = status.mManifest;
             mPlanner.machine().onStep(manifest.model(), manifest.number(), manifest.minVersion());
         }
     }
 
     /**
-     * Takes changed limits in. Addresses and names are those of the process and stay as they are; a
-     * change of them is logged and needs a restart.
+     * Applies changed limits. Addresses, names and the policy are fixed for the life of the
+     * process; a change of them is only logged, and needs a restart.
      */
     public void reload(HostedSettings settings) {
         HostedSettings before = mSettings;
@@ -538,53 +543,53 @@
                         .with("restart_needed", !mSettings.isSameExceptLimits(settings)));
     }
 
-    /** Stops gracefully: finishes what callers wait for and hands steps over. */
+    /** Stops gracefully: finishes open requests and hands steps over to other entries. */
     public void drain() throws InterruptedException {
-        long begin = System.nanoTime();
-        long limit =
-                begin
+        long startedAt = System.nanoTime();
+        long deadline =
+                startedAt
                         + (long)
-                                (DRAIN_SHARE
+                                (DRAIN_FRACTION
                                         * Nanos.ofMillis(mSettings.limits().gracePeriodMillis()));
         mDraining = true;
         mReady = false;
         mLog.write(LogLine.of("stop"));
-        mDuty.post(
+        mEventLoop.post(
                 () -> {
-                    mSteps.onDrain();
+                    mStepOwnership.onDrain();
                     mPlanner.onDrain();
                 });
-        long finish =
-                (long) (FINISH_SHARE * Nanos.ofMillis(mSettings.limits().gracePeriodMillis()));
-        CountDownLatch never = new CountDownLatch(1);
-        while (System.nanoTime() - limit < 0) {
-            never.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
+        long finishNanos =
+                (long) (FINISH_FRACTION * Nanos.ofMillis(mSettings.limits().gracePeriodMillis()));
+        CountDownLatch sleepLatch = new CountDownLatch(1);
+        while (System.nanoTime() - deadline < 0) {
+            sleepLatch.await(DRAIN_POLL_MILLIS, TimeUnit.MILLISECONDS);
             long now = System.nanoTime();
-            mFront.drain(now, DRAIN_QUIET_NANOS);
-            if (now - begin > finish) {
-                mDuty.post(mSteps::handOver);
+            mFrontServer.drain(now, DRAIN_IDLE_NANOS);
+            if (now - startedAt > finishNanos) {
+                mEventLoop.post(mStepOwnership::handOver);
             }
             if (mOwnedSteps == 0
-                    && now - begin > DRAIN_LEAST_NANOS
-                    && mFront.busyConnectionCount() == 0) {
+                    && now - startedAt > MIN_DRAIN_NANOS
+                    && mFrontServer.busyConnectionCount() == 0) {
                 break;
             }
         }
-        mFront.stop();
-        while (mFront.busyConnectionCount() > 0 && System.nanoTime() - limit < 0) {
-            never.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
+        mFrontServer.stop();
+        while (mFrontServer.busyConnectionCount() > 0 && System.nanoTime() - deadline < 0) {
+            sleepLatch.await(DRAIN_POLL_MILLIS, TimeUnit.MILLISECONDS);
         }
-        mDuty.post(mLease::release);
-        never.await(DRAIN_STEP_MILLIS, TimeUnit.MILLISECONDS);
-        mLog.write(LogLine.of("stopped").with("busy", mFront.busyConnectionCount()));
+        mEventLoop.post(mLease::release);
+        sleepLatch.await(DRAIN_POLL_MILLIS, TimeUnit.MILLISECONDS);
+        mLog.write(LogLine.of("stopped").with("busy", mFrontServer.busyConnectionCount()));
         mLog.close();
     }
 
-    /** Stops at once: closes all connections and hands nothing over. Does nothing if repeated. */
+    /** Stops at once: closes all connections without handing steps over. Idempotent. */
     @Override
     public void close() throws IOException {
         mTransport.shutdownNow();
-        mDuty.close();
+        mEventLoop.close();
         mLog.close();
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedMain.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedMain.java
@@ -16,10 +16,10 @@
 import sun.misc.SignalHandler;
 
 /**
- * Starts the roles of a platform that has endpoints of its own. Stateless.
+ * Starts the process roles of a deployment on a platform that provides the endpoints. Stateless.
  *
- * <p>May be the main class itself: it loads less than the general one, so that a restarted process
- * is ready sooner.
+ * <p>Can be started directly as the main class: it loads fewer classes than the general main class,
+ * so a restarted process is ready sooner.
  */
 public final class HostedMain {
     private static final int EXIT_OK = 0;
@@ -32,7 +32,7 @@
     /**
      * Runs a process.
      *
-     * @param args the settings file, or the word {@code reserve}
+     * @param args the settings file, or {@code reserve} for a process that only waits
      */
     public static void main(String[] args) throws IOException {
         if (args.length != 1) {
@@ -40,9 +40,9 @@
             System.exit(EXIT_USAGE);
         }
         if (args[0].equals(HostedSettings.ROLE_RESERVE)) {
-            // A process without settings has nothing to reload.
+            // Without settings there is nothing to reload.
             Signal.handle(new Signal("HUP"), SignalHandler.SIG_IGN);
-            standBy();
+            awaitTermination();
             return;
         }
         int status = run(args[0], Files.readString(Path.of(args[0])), false);
@@ -51,14 +51,14 @@
         }
     }
 
-    /** Returns whether settings are those of a role of this package. */
+    /** Returns whether the settings name a role of this package. */
     public static boolean isHosted(String text) {
         SettingsNode root = SettingsNode.parse("", text, new ArrayList<>());
         String role = root.get("role").text("");
         return role.equals(HostedSettings.ROLE) || role.equals(HostedSettings.ROLE_RESERVE);
     }
 
-    /** Runs a process until it is told to stop, and returns its exit status. */
+    /** Runs a process until it is signalled to stop; returns its exit status. */
     public static int run(String file, String text, boolean checkOnly) {
         HostedSettings.Parsed parsed = HostedSettings.parse(file, text);
         List<Problem> problems = parsed.problems();
@@ -76,7 +76,7 @@
             HostedEntry entry = HostedEntry.start(parsed.settings(), log);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(entry), "drain"));
             Signal.handle(new Signal("HUP"), signal -> reload(file, entry, log));
-            standBy();
+            awaitTermination();
             return EXIT_OK;
         } catch (IOException e) {
             log.write(LogLine.of("start.failed").with("why", e.getMessage()));
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Takes changed settings in; settings with problems change nothing. */
+    /** Reloads the settings file; settings with problems are rejected as a whole. */
     private static void reload(String file, HostedEntry entry, EventLog log) {
         String text;
         try {
@@ -110,7 +110,7 @@
         }
     }
 
-    private static void standBy() {
+    private static void awaitTermination() {
         try {
             new CountDownLatch(1).await();
         } catch (InterruptedException e) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedSettings.java
@@ -23,14 +23,14 @@
  * <p>Immutable and thread safe.
  *
  * @param vm the VM on which the entry runs
- * @param domain where the VM runs
- * @param front where callers arrive
- * @param ready where the platform asks whether the entry is ready
- * @param metrics where metrics are read
- * @param store where the shared store is
- * @param firstStart whether the whole system starts for the first time
- * @param limits within which times things must be done
- * @param policy which mechanisms are used
+ * @param domain the failure domain of the VM
+ * @param front the listening address for callers and trainers
+ * @param ready the listening address for readiness probes
+ * @param metrics the listening address for metric scrapes
+ * @param store the address of the shared store
+ * @param firstStart whether the deployment starts for the first time, so no earlier planner exists
+ * @param limits the time limits of the deployment
+ * @param policy which mechanisms are enabled
  */
 public record HostedSettings(
         VmId vm,
@@ -45,7 +45,7 @@
     /** The role of a hosted entry. */
     public static final String ROLE = "hosted-entry";
 
-    /** The role of a process that only stands by. */
+    /** The role of a process that only waits, without any work. */
     public static final String ROLE_RESERVE = "reserve";
 
     private static final Set<String> KEYS =
@@ -68,14 +68,14 @@
                     "contact_within");
 
     /**
-     * Settings and what is wrong with them.
+     * The result of parsing settings.
      *
-     * @param settings what could be read
-     * @param problems every fault found; empty for valid settings
+     * @param settings the settings, with placeholders for values that could not be read
+     * @param problems all problems found; empty for valid settings
      */
     public record Parsed(HostedSettings settings, List<Problem> problems) {}
 
-    /** Reads settings and finds every fault in them. */
+    /** Parses settings and reports all problems in them. */
     public static Parsed parse(String file, String text) {
         List<Problem> problems = new ArrayList<>();
         SettingsNode root = SettingsNode.parse(file, text, problems);
@@ -86,8 +86,8 @@
         limits.checkKeys(LIMIT_KEYS);
         HostedSettings settings =
                 new HostedSettings(
-                        needed(root.get("vm"), VmId::of, VmId.of("unknown")),
-                        needed(
+                        required(root.get("vm"), VmId::of, VmId.of("unknown")),
+                        required(
                                 root.get("failure_domain"),
                                 FailureDomain::of,
                                 FailureDomain.of("unknown")),
@@ -101,7 +101,10 @@
         return new Parsed(settings, List.copyOf(problems));
     }
 
-    /** Returns whether a process with the other settings would be the same but for limits. */
+    /**
+     * Returns whether the other settings differ from these at most in the limits and in {@code
+     * firstStart}, which matters at the start only, so that they need no restart.
+     */
     boolean isSameExceptLimits(HostedSettings other) {
         return vm.equals(other.vm)
                 && domain.equals(other.domain)
@@ -112,7 +115,7 @@
                 && policy.equals(other.policy);
     }
 
-    /** Returns these settings with the limits of others. */
+    /** Returns these settings with the limits of the other ones. */
     HostedSettings withLimitsOf(HostedSettings other) {
         return new HostedSettings(
                 vm, domain, front, ready, metrics, store, firstStart, other.limits, policy);
@@ -126,28 +129,28 @@
         node.checkKeys(mechanisms.keySet());
         Policy policy = Policy.ALL;
         for (Map.Entry<String, Mechanism> entry : mechanisms.entrySet()) {
-            if (!node.get(entry.getKey()).read(HostedSettings::trueOrFalse, true)) {
+            if (!node.get(entry.getKey()).read(HostedSettings::parseBoolean, true)) {
                 policy = policy.without(entry.getValue());
             }
         }
         return policy;
     }
 
-    private static boolean trueOrFalse(String text) {
+    private static boolean parseBoolean(String text) {
         checkArgument(text.equals("true") || text.equals("false"), "not true or false: '%s'", text);
         return text.equals("true");
     }
 
     private static InetSocketAddress address(SettingsNode node) {
         DaemonSettings.ListenAddress listen =
-                needed(
+                required(
                         node,
                         DaemonSettings.ListenAddress::parse,
                         new DaemonSettings.ListenAddress("127.0.0.1", 0));
         return new InetSocketAddress(listen.host(), listen.port());
     }
 
-    private static <T> T needed(SettingsNode node, Function<String, T> read, T fallback) {
+    private static <T> T required(SettingsNode node, Function<String, T> read, T fallback) {
         if (!node.isPresent()) {
             node.addProblem("is missing");
         }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/LibraryLogHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/LibraryLogHandler.java
@@ -8,7 +8,7 @@
 import org.ebonyrun.base.log.LogLine;
 
 /**
- * Brings warnings of a library into the entry's log.
+ * Forwards the warnings that a library logs through {@code java.util.logging} to the entry's log.
  *
  * <p>Thread safe: it only writes to the log.
  */
@@ -19,7 +19,7 @@
         mLog = log;
     }
 
-    /** Routes what a library logs from warnings up. */
+    /** Forwards a library's records of level {@code WARNING} and above to the log. */
     static void install(String library, EventLog log) {
         Logger logger = Logger.getLogger(library);
         logger.setUseParentHandlers(false);
@@ -28,18 +28,18 @@
     }
 
     @Override
-    public void publish(LogRecord entry) {
-        Throwable thrown = entry.getThrown();
+    public void publish(LogRecord logRecord) {
+        Throwable thrown = logRecord.getThrown();
         mLog.write(
                 LogLine.of("library.warning")
-                        .with("logger", entry.getLoggerName())
-                        .with("message", entry.getMessage())
+                        .with("logger", logRecord.getLoggerName())
+                        .with("message", logRecord.getMessage())
                         .with("thrown", thrown == null ? "" : thrown.toString()));
     }
 
     @Override
     public void flush() {
-        // The log writes on its own thread.
+        // The log flushes on its own thread.
     }
 
     @Override
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/MetricsHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/MetricsHandler.java
@@ -6,7 +6,7 @@
 import org.ebonyrun.ports.http.FrontListener;
 import org.ebonyrun.ports.http.HttpHeaders;
 
-/** Answers scrapes of the metrics. Thread safe: the text is made on the entry's duty. */
+/** Serves metric scrapes. Thread safe: the text is generated on the entry's event loop. */
 final class MetricsHandler implements FrontListener {
     private static final int OK = 200;
     private static final HttpHeaders TEXT =
@@ -27,6 +27,6 @@
 
     @Override
     public void onAbandoned(FrontExchange exchange) {
-        // The text is made either way.
+        // Nothing to cancel: the queued task still responds, without effect.
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OrderLog.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OrderLog.java
@@ -24,29 +24,32 @@
 import org.ebonyrun.ports.store.Transaction;
 
 /**
- * Keeps in the shared store how long ago the planner ordered which endpoint, so that its successor
- * need not wait for all of them.
+ * Records in the shared store how long ago the planner sent a weight order to which endpoint. With
+ * these ages, the next holder of the planner role does not have to wait, for all endpoints, until
+ * the orders of its predecessor can no longer take effect.
  *
- * <p>Answers the load of trainers that name versions while the planner's VM stops or loses the
- * store: endpoints that were not ordered lately are ordered by the next holder at once.
+ * <p>This matters when trainers name versions while the planner's VM stops or loses the store: the
+ * next holder can immediately order those endpoints that have had no recent order.
  *
- * <p>Invariants: an order is given only after the store has noted it, under the condition that the
- * planner's key is still this holder's, so a holder that lost its key gives none; an age that is
- * read is never above the true one. Ages are times between two moments of one steady clock.
+ * <p>Invariants: an order is sent only after the store has recorded it, in a transaction that
+ * expects the planner's key to be unchanged, so a holder that has lost the key sends none; an age
+ * that is read is never above the true age. An age is the difference of two readings of the same
+ * monotonic clock.
  *
- * <p>Not thread safe; confined to the duty behind {@code executor}.
+ * <p>Not thread safe; confined to the event loop behind {@code executor}.
  */
 final class OrderLog {
-    // How long after it was noted an order may be given. One whose note takes longer to store is
-    // refused; a reader of the note takes it for younger by as much.
-    private static final long NOTE_NANOS = Nanos.ofMillis(1_000);
+    // How long after its age was taken an order may be sent. An order whose record takes longer to
+    // commit is refused. A reader subtracts this time from recorded ages, so that they are never
+    // above the true ages.
+    private static final long MAX_SEND_DELAY_NANOS = Nanos.ofMillis(1_000);
     private static final String FENCE = "fence";
-    private static final String OWN = "own_ms";
-    private static final String EARLIER = "earlier_ms";
-    private static final Optional<OrderAges> NONE = Optional.empty();
+    private static final String OWN_AGES = "own_ms";
+    private static final String EARLIER_AGES = "earlier_ms";
+    private static final Optional<OrderAges> UNKNOWN = Optional.empty();
 
-    /** An order that waits to be noted. */
-    private record Waiting(Runnable give, Runnable refuse) {}
+    /** An order that has not been recorded yet. */
+    private record PendingOrder(Runnable send, Runnable refuse) {}
 
     private final SharedStore mStore;
     private final Executor mExecutor;
@@ -54,15 +57,15 @@
     private final EventLog mLog;
     private final LongFunction<Optional<OrderAges>> mAges;
     private final Consumer<String> mOnLost;
-    private List<Waiting> mWaiting = new ArrayList<>();
-    private boolean mCalling;
+    private List<PendingOrder> mPending = new ArrayList<>();
+    private boolean mCommitPending;
     private long mFence;
 
     /**
      * Creates a log.
      *
-     * @param ages gives the ages of orders at a time; empty if they are not known
-     * @param onLost hears that the planner's key is no longer this holder's
+     * @param ages returns the ages of orders at a time; empty if they are unknown
+     * @param onLost called with the reason when this holder no longer holds the planner's key
      */
     OrderLog(
             SharedStore store,
@@ -80,35 +83,36 @@
     }
 
     /**
-     * Reads what the holder before has noted.
+     * Reads the ages of orders that the previous holder has recorded.
      *
-     * @param predecessor the fence of the holder before; zero if it is not known
-     * @param use gets the ages of its orders; empty if they are not known
+     * @param predecessor the fence of the previous holder; zero if it is unknown
+     * @param use receives the ages; empty if they are unknown or of another holder
      */
     void read(long predecessor, Consumer<Optional<OrderAges>> use) {
         mStore.get(StoreKeys.ORDERS)
                 .thenAcceptAsync(
-                        result -> use.accept(result.fold(i -> ages(i, predecessor), f -> NONE)),
+                        result -> use.accept(result.fold(i -> ages(i, predecessor), f -> UNKNOWN)),
                         mExecutor);
     }
 
     private Optional<OrderAges> ages(Optional<StoreItem> item, long predecessor) {
         if (item.isEmpty()) {
-            return NONE;
+            return UNKNOWN;
         }
         try {
-            JsonNode note = JsonTrees.read(item.get().value());
-            long fence = note.path(FENCE).asLong();
+            JsonNode json = JsonTrees.read(item.get().value());
+            long fence = json.path(FENCE).asLong();
             if (predecessor != 0 && fence != predecessor) {
-                return NONE;
+                return UNKNOWN;
             }
-            return Optional.of(new OrderAges(ages(note.path(OWN)), ages(note.path(EARLIER))));
+            return Optional.of(
+                    new OrderAges(ages(json.path(OWN_AGES)), ages(json.path(EARLIER_AGES))));
         } catch (IllegalArgumentException e) {
             mLog.write(
                     LogLine.of("store.unreadable")
                             .with("key", StoreKeys.ORDERS)
                             .with("why", e.getMessage()));
-            return NONE;
+            return UNKNOWN;
         }
     }
 
@@ -117,56 +121,59 @@
         millis.properties()
                 .forEach(
                         age -> {
-                            long noted = Nanos.ofMillis(age.getValue().asLong());
-                            ages.put(age.getKey(), noted - NOTE_NANOS);
+                            long recorded = Nanos.ofMillis(age.getValue().asLong());
+                            ages.put(age.getKey(), recorded - MAX_SEND_DELAY_NANOS);
                         });
         return ages;
     }
 
-    /** Begins to note orders under a fence. */
+    /** Starts to record orders under a fence. */
     void start(long fence) {
         mFence = fence;
     }
 
-    /** Notes an order that counts from now on, then gives it; or refuses it. */
-    void recordThenSend(Runnable give, Runnable refuse) {
-        mWaiting.add(new Waiting(give, refuse));
-        if (!mCalling) {
-            store();
+    /**
+     * Records an order and then sends it, or refuses it if it could not be recorded in time. Orders
+     * that arrive while a transaction is open share the next one.
+     */
+    void recordThenSend(Runnable send, Runnable refuse) {
+        mPending.add(new PendingOrder(send, refuse));
+        if (!mCommitPending) {
+            commitPending();
         }
     }
 
-    /** Adds what is known of orders to a transaction that gives the planner's key up. */
+    /** Adds the ages of orders, if known, to a transaction that releases the planner's key. */
     void addOrderAges(Transaction.Builder release) {
         mAges.apply(mClock.nanoTime())
                 .ifPresent(ages -> release.write(StoreKeys.ORDERS, encode(ages)));
     }
 
-    private void store() {
+    private void commitPending() {
         long now = mClock.nanoTime();
         Optional<OrderAges> ages = mAges.apply(now);
-        List<Waiting> noted = mWaiting;
-        mWaiting = new ArrayList<>();
+        List<PendingOrder> batch = mPending;
+        mPending = new ArrayList<>();
         if (ages.isEmpty()) {
-            noted.forEach(order -> order.refuse().run());
+            batch.forEach(order -> order.refuse().run());
             return;
         }
-        mCalling = true;
+        mCommitPending = true;
         long fence = mFence;
         mStore.commit(
                         Transaction.builder()
                                 .expect(StoreKeys.PLANNER, fence)
                                 .write(StoreKeys.ORDERS, encode(ages.get()))
                                 .build())
-                .thenAcceptAsync(result -> onStored(noted, fence, now, result), mExecutor);
+                .thenAcceptAsync(result -> onStored(batch, fence, now, result), mExecutor);
     }
 
     private byte[] encode(OrderAges ages) {
-        ObjectNode note = JsonTrees.object();
-        note.put(FENCE, mFence);
-        put(note.putObject(OWN), ages.own());
-        put(note.putObject(EARLIER), ages.earlier());
-        return JsonTrees.write(note);
+        ObjectNode json = JsonTrees.object();
+        json.put(FENCE, mFence);
+        put(json.putObject(OWN_AGES), ages.own());
+        put(json.putObject(EARLIER_AGES), ages.earlier());
+        return JsonTrees.write(json);
     }
 
     private static void put(ObjectNode millis, Map<String, Long> ages) {
@@ -174,23 +181,23 @@
     }
 
     private void onStored(
-            List<Waiting> noted, long fence, long sentAt, Result<CommitResult> result) {
-        mCalling = false;
+            List<PendingOrder> batch, long fence, long sentAt, Result<CommitResult> result) {
+        mCommitPending = false;
         boolean stored = result.fold(CommitResult::isCommitted, fault -> false);
-        boolean lost =
+        boolean conflict =
                 result.fold(commit -> commit.outcome() == CommitOutcome.CONFLICT, fault -> false);
-        boolean timely = mClock.nanoTime() - sentAt < NOTE_NANOS;
-        for (Waiting order : noted) {
-            (stored && timely && fence == mFence ? order.give() : order.refuse()).run();
+        boolean inTime = mClock.nanoTime() - sentAt < MAX_SEND_DELAY_NANOS;
+        for (PendingOrder order : batch) {
+            (stored && inTime && fence == mFence ? order.send() : order.refuse()).run();
         }
-        if (lost && fence == mFence) {
-            mOnLost.accept("the planner's key is not this holder's");
+        if (conflict && fence == mFence) {
+            mOnLost.accept("this entry no longer holds the planner's key");
         } else if (!stored) {
             String why = result.fold(commit -> commit.outcome().name(), fault -> fault.detail());
-            mLog.write(LogLine.of("order.unnoted").with("orders", noted.size()).with("why", why));
+            mLog.write(LogLine.of("order.unnoted").with("orders", batch.size()).with("why", why));
         }
-        if (!mWaiting.isEmpty()) {
-            store();
+        if (!mPending.isEmpty()) {
+            commitPending();
         }
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
@@ -33,14 +33,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Holds the planner's lease when nobody else does, and carries out what the planner decides. The
- * holder also removes steps that are over and tells operators that machines are empty.
+ * Takes the planner role when no other entry holds it, and performs the I/O that the planner's
+ * state machine requests. The role belongs to the process whose name is in the planner's key, which
+ * is attached to the entry's lease. The holder also removes old finished steps from the store, and
+ * reports to operators that VMs to be retired are empty.
  *
- * <p>Invariant: an order leaves only while the entry's lease is valid, and where endpoints don't
- * check fences only once it is noted in the store, so a holder that was paused gives none after it
- * was replaced.
+ * <p>Invariant: an order is sent only while the entry's lease is valid. In deployments whose
+ * endpoints don't check fences, it is also sent only after the shared store has recorded it. So a
+ * holder that was paused sends none after it has been replaced.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class PlannerController implements SwapOutputs {
     private static final long CLAIM_DELAY_NANOS = Nanos.ofMillis(40);
@@ -48,58 +50,59 @@
     private static final long RETRY_NANOS = Nanos.ofMillis(500);
     private static final long SWEEP_NANOS = Nanos.ofMillis(20_000);
     private static final long KEEP_SLACK_MILLIS = 60_000;
-    // The shortest time for which orders of another holder count that is worth a note of each
-    // order; below it, waiting costs trainers less than the calls.
-    private static final long NOTED_QUIET_MILLIS = 1_000;
+    // Orders are recorded only if orders of another holder may take effect for at least this time.
+    // Below it, waiting that long after a change of the holder costs trainers less than the calls
+    // that record each order.
+    private static final long MIN_RECORDED_QUIET_MILLIS = 1_000;
 
-    private final HostedContext mParts;
-    private final AsyncHttpClient mCaller;
-    private final SharedStore mShared;
-    private final StepStore mStore;
+    private final HostedContext mContext;
+    private final AsyncHttpClient mHttpClient;
+    private final SharedStore mSharedStore;
+    private final StepStore mStepStore;
     private final SwapMachine mMachine;
-    private final OrderLog mOrders;
+    private final OrderLog mOrderLog;
     private final Supplier<HostedSettings> mSettings;
     private final RandomGenerator mRandom;
-    private final Set<String> mRetired = new HashSet<>();
-    private final Set<String> mRetireAsked = new HashSet<>();
-    private boolean mPredecessor;
+    private final Set<String> mReportedRetirements = new HashSet<>();
+    private final Set<String> mRequestedRetirements = new HashSet<>();
+    private boolean mHasPredecessor;
     private String mLastHolder = "";
     private long mLastFence;
     private boolean mSameHolder;
     private boolean mClaiming;
     private boolean mDraining;
-    private long mClaimAt;
-    private long mSweepAt;
+    private long mNextClaimAt;
+    private long mNextSweepAt;
     private long mFence;
 
     PlannerController(
-            HostedContext parts,
-            AsyncHttpClient caller,
-            SharedStore shared,
-            StepStore store,
+            HostedContext context,
+            AsyncHttpClient httpClient,
+            SharedStore sharedStore,
+            StepStore stepStore,
             Fleet fleet,
             Supplier<HostedSettings> settings,
             RandomGenerator random) {
-        mParts = parts;
-        mCaller = caller;
-        mShared = shared;
-        mStore = store;
+        mContext = context;
+        mHttpClient = httpClient;
+        mSharedStore = sharedStore;
+        mStepStore = stepStore;
         mSettings = settings;
         mRandom = random;
-        mPredecessor = !settings.get().firstStart();
-        mMachine = SwapMachine.create(fleet, parts.policy(), this);
-        mOrders =
+        mHasPredecessor = !settings.get().firstStart();
+        mMachine = SwapMachine.create(fleet, context.policy(), this);
+        mOrderLog =
                 new OrderLog(
-                        shared,
-                        parts.executor(),
+                        sharedStore,
+                        context.executor(),
                         MonotonicClock.system(),
-                        parts.log(),
+                        context.log(),
                         mMachine::orderAges,
                         this::releaseIfHolding);
     }
 
-    private boolean isNoted() {
-        return mSettings.get().limits().orderQuietPeriodMillis() >= NOTED_QUIET_MILLIS;
+    private boolean recordsOrders() {
+        return mSettings.get().limits().orderQuietPeriodMillis() >= MIN_RECORDED_QUIET_MILLIS;
     }
 
     SwapMachine machine() {
@@ -111,30 +114,30 @@
     }
 
     /**
-     * Takes in what the watch says of the planner's key.
+     * Handles a change of the planner's key that the watch has reported.
      *
-     * @param revision the revision of the change; changes from before this entry's claim say
-     *     nothing
+     * @param revision the revision of the change; a change before this entry's own claim does not
+     *     end the role
      */
     void onPlannerKeyChanged(@Nullable StoreItem holder, long revision) {
-        boolean mine = holder != null && holder.text().equals(mParts.self().format());
-        if (holder != null && !mine) {
-            mPredecessor = true;
+        boolean own = holder != null && holder.text().equals(mContext.self().format());
+        if (holder != null && !own) {
+            mHasPredecessor = true;
             mLastHolder = holder.text();
             mLastFence = holder.revision();
         }
-        if (mMachine.holdsLease() && !mine && revision > mFence) {
+        if (mMachine.holdsLease() && !own && revision > mFence) {
             release("the planner's key is " + (holder == null ? "gone" : holder.text()));
         }
     }
 
     private void release(String why) {
         mMachine.onLeaseLost();
-        mPredecessor = true;
-        mParts.log().write(LogLine.of("planner.released").with("why", why));
+        mHasPredecessor = true;
+        mContext.log().write(LogLine.of("planner.released").with("why", why));
     }
 
-    /** Notes that the entry's lease has ended. */
+    /** Releases the planner role because the entry's lease has ended. */
     void onLeaseLost() {
         releaseIfHolding("the lease has ended");
     }
@@ -145,40 +148,40 @@
         }
     }
 
-    /** Notes that operators want a machine emptied. */
+    /** Handles an operator's request to empty a VM. */
     void onRetireRequested(String vm) {
-        mRetireAsked.add(vm);
+        mRequestedRetirements.add(vm);
     }
 
     void onTick(long now) {
-        StoreItem holder = mParts.directory().planner();
-        boolean inherited = holder != null && mParts.self().isSuccessorOf(holder.text());
+        StoreItem holder = mContext.directory().planner();
+        boolean inherited = holder != null && mContext.self().isSuccessorOf(holder.text());
         boolean free = holder == null || inherited;
         if (free && !mMachine.holdsLease() && !mClaiming && !mDraining) {
             claimWhenDue(inherited, now);
         } else if (holder != null) {
-            mClaimAt = 0;
+            mNextClaimAt = 0;
         }
         if (!mMachine.holdsLease()) {
             return;
         }
-        if (mParts.lease().isValid(now)) {
+        if (mContext.lease().isValid(now)) {
             mMachine.onTick(now);
-            answerRetirements();
+            reportRetirements();
             sweep(now);
         }
     }
 
     private void claimWhenDue(boolean inherited, long now) {
-        if (mClaimAt == 0) {
+        if (mNextClaimAt == 0) {
             long delay = CLAIM_DELAY_NANOS + mRandom.nextLong(CLAIM_JITTER_NANOS);
-            mClaimAt = inherited ? now : now + delay;
+            mNextClaimAt = inherited ? now : now + delay;
         }
-        if (now - mClaimAt < 0) {
+        if (now - mNextClaimAt < 0) {
             return;
         }
         mClaiming = true;
-        mParts.lease()
+        mContext.lease()
                 .acquire(
                         lease -> {
                             if (lease == 0) {
@@ -191,23 +194,24 @@
     }
 
     private void claim(long lease) {
-        byte[] value = mParts.self().format().getBytes(StandardCharsets.UTF_8);
-        StoreItem holder = mParts.directory().planner();
+        byte[] value = mContext.self().format().getBytes(StandardCharsets.UTF_8);
+        StoreItem holder = mContext.directory().planner();
         OptionalLong replaced =
                 holder == null
-                        ? mParts.self().expectedRevision(null, 0)
-                        : mParts.self().expectedRevision(holder.text(), holder.revision());
+                        ? mContext.self().expectedRevision(null, 0)
+                        : mContext.self().expectedRevision(holder.text(), holder.revision());
         if (replaced.isEmpty()) {
             onClaimFailed();
             return;
         }
         mSameHolder = holder != null;
-        mShared.commit(
+        mSharedStore
+                .commit(
                         Transaction.builder()
                                 .expect(StoreKeys.PLANNER, replaced.getAsLong())
                                 .write(StoreKeys.PLANNER, value, lease)
                                 .build())
-                .thenAcceptAsync(this::onClaimed, mParts.executor());
+                .thenAcceptAsync(this::onClaimed, mContext.executor());
     }
 
     private void onClaimed(Result<CommitResult> result) {
@@ -216,30 +220,30 @@
             onClaimFailed();
             return;
         }
-        if (isNoted()) {
-            mOrders.read(mLastFence, ages -> hold(fence, ages));
+        if (recordsOrders()) {
+            mOrderLog.read(mLastFence, ages -> takeRole(fence, ages));
         } else {
-            hold(fence, Optional.empty());
+            takeRole(fence, Optional.empty());
         }
     }
 
-    private void hold(long fence, Optional<OrderAges> ages) {
+    private void takeRole(long fence, Optional<OrderAges> ages) {
         mClaiming = false;
         mFence = fence;
-        mOrders.start(fence);
+        mOrderLog.start(fence);
         long now = System.nanoTime();
         long quiet = Nanos.ofMillis(mSettings.get().limits().orderQuietPeriodMillis());
         if (mSameHolder) {
-            // Orders of the same VM are those of one holder, whichever process gave them.
+            // The processes of one VM count as one holder, so their orders are this holder's own.
             mMachine.onLeaseAcquired(fence, quiet, ages.orElse(OrderAges.NONE), now);
-        } else if (!mPredecessor) {
+        } else if (!mHasPredecessor) {
             mMachine.onLeaseAcquired(fence, quiet, OrderAges.NONE, now);
         } else if (ages.isPresent()) {
             mMachine.onLeaseAcquired(fence, quiet, ages.get().asEarlier(), now);
         } else {
             mMachine.onLeaseAcquired(fence, quiet, now);
         }
-        mParts.log()
+        mContext.log()
                 .write(
                         LogLine.of("planner.holding")
                                 .with("fence", fence)
@@ -248,7 +252,7 @@
                                 .with("known_orders", ages.map(OrderAges::size).orElse(-1))
                                 .with("quiet_ms", Nanos.toMillis(quiet)));
         if (mDraining) {
-            giveUp();
+            handOver();
         }
     }
 
@@ -257,7 +261,7 @@
             return commit.revision();
         }
         for (StoreItem item : commit.current()) {
-            if (item.text().equals(mParts.self().format())) {
+            if (item.text().equals(mContext.self().format())) {
                 return item.revision();
             }
         }
@@ -266,68 +270,70 @@
 
     private void onClaimFailed() {
         mClaiming = false;
-        mClaimAt = System.nanoTime() + RETRY_NANOS;
+        mNextClaimAt = System.nanoTime() + RETRY_NANOS;
     }
 
-    private void answerRetirements() {
-        for (String vm : List.copyOf(mRetireAsked)) {
-            if (mRetired.add(vm)) {
+    private void reportRetirements() {
+        for (String vm : List.copyOf(mRequestedRetirements)) {
+            if (mReportedRetirements.add(vm)) {
                 Transaction done =
                         Transaction.builder()
                                 .write(
                                         OperatorDecoder.retireStatusKey(vm),
                                         OperatorDecoder.retireDoneValue())
                                 .build();
-                mShared.commit(done)
+                mSharedStore
+                        .commit(done)
                         .thenAcceptAsync(
                                 result -> {
                                     if (!result.isOk()) {
-                                        mRetired.remove(vm);
+                                        mReportedRetirements.remove(vm);
                                     }
                                 },
-                                mParts.executor());
-                mParts.log().write(LogLine.of("vm.empty").with("vm", vm));
+                                mContext.executor());
+                mContext.log().write(LogLine.of("vm.empty").with("vm", vm));
             }
         }
     }
 
     private void sweep(long now) {
-        if (now - mSweepAt < 0) {
+        if (now - mNextSweepAt < 0) {
             return;
         }
-        mSweepAt = now + SWEEP_NANOS;
-        long before =
+        mNextSweepAt = now + SWEEP_NANOS;
+        long cutoff =
                 System.currentTimeMillis()
                         - mSettings.get().limits().retentionMillis()
                         - KEEP_SLACK_MILLIS;
-        for (StepId step : mParts.directory().finishedSteps(before)) {
-            mParts.log().write(LogLine.of("step.forgotten").with("step", step));
-            mStore.delete(step);
+        for (StepId step : mContext.directory().finishedSteps(cutoff)) {
+            mContext.log().write(LogLine.of("step.forgotten").with("step", step));
+            mStepStore.delete(step);
         }
     }
 
-    /** Begins a graceful stop: gives the planning up. */
+    /** Begins a graceful stop: hands the planner role over. */
     void onDrain() {
         mDraining = true;
         if (mMachine.holdsLease()) {
-            giveUp();
+            handOver();
         }
     }
 
-    private void giveUp() {
-        Transaction.Builder handOver =
+    private void handOver() {
+        Transaction.Builder transaction =
                 Transaction.builder().expect(StoreKeys.PLANNER, mFence).remove(StoreKeys.PLANNER);
-        if (isNoted()) {
-            mOrders.addOrderAges(handOver);
+        if (recordsOrders()) {
+            mOrderLog.addOrderAges(transaction);
         }
-        release("this entry stops");
-        mShared.commit(handOver.build());
+        release("this entry is stopping");
+        mSharedStore.commit(transaction.build());
     }
 
     @Override
     public void requestState(Endpoint endpoint) {
-        mCaller.request(EndpointProtocol.newStateRequest(endpoint.record()), "endpoint.inspect")
-                .thenAcceptAsync(result -> onState(endpoint, result), mParts.executor());
+        mHttpClient
+                .request(EndpointProtocol.newStateRequest(endpoint.record()), "endpoint.inspect")
+                .thenAcceptAsync(result -> onState(endpoint, result), mContext.executor());
     }
 
     private void onState(Endpoint endpoint, Result<HttpResponse> result) {
@@ -340,26 +346,26 @@
         }
     }
 
-    private static @Nullable EndpointState state(HttpResponse reply) {
-        if (!reply.isSuccess()) {
+    private static @Nullable EndpointState state(HttpResponse response) {
+        if (!response.isSuccess()) {
             return null;
         }
         try {
-            return EndpointDecoder.decodeState(reply.body());
+            return EndpointDecoder.decodeState(response.body());
         } catch (IllegalArgumentException ignored) {
-            // An unreadable state counts as none; the machine asks again.
+            // An unreadable state counts as no state; the machine requests it again.
             return null;
         }
     }
 
     @Override
     public void sendOrder(Endpoint endpoint, SwapOrder order) {
-        if (!mParts.lease().isValid(System.nanoTime())) {
+        if (!mContext.lease().isValid(System.nanoTime())) {
             refuse(endpoint, order);
-        } else if (isNoted()) {
-            mOrders.recordThenSend(() -> give(endpoint, order), () -> refuse(endpoint, order));
+        } else if (recordsOrders()) {
+            mOrderLog.recordThenSend(() -> send(endpoint, order), () -> refuse(endpoint, order));
         } else {
-            give(endpoint, order);
+            send(endpoint, order);
         }
     }
 
@@ -367,25 +373,26 @@
         mMachine.onReply(endpoint, order, OrderReply.REFUSED, System.nanoTime());
     }
 
-    private void give(Endpoint endpoint, SwapOrder order) {
+    private void send(Endpoint endpoint, SwapOrder order) {
         if (!mMachine.holdsLease() || order.fence() != mFence) {
             refuse(endpoint, order);
             return;
         }
-        mCaller.request(
+        mHttpClient
+                .request(
                         EndpointProtocol.newOrderRequest(
                                 endpoint.record(), mSettings.get().vm().value(), order),
                         "endpoint.order")
-                .thenAcceptAsync(result -> onReply(endpoint, order, result), mParts.executor());
+                .thenAcceptAsync(result -> onReply(endpoint, order, result), mContext.executor());
     }
 
     private void onReply(Endpoint endpoint, SwapOrder order, Result<HttpResponse> result) {
         OrderReply reply =
                 result.fold(
-                        answer -> EndpointProtocol.orderReply(answer.status()),
+                        response -> EndpointProtocol.orderReply(response.status()),
                         fault -> fault.isNotRun() ? OrderReply.REFUSED : OrderReply.UNKNOWN);
-        mParts.metrics().count(EntryMetrics.ORDERS, reply.name());
-        mParts.log()
+        mContext.metrics().count(EntryMetrics.ORDERS, reply.name());
+        mContext.log()
                 .write(
                         LogLine.of("order")
                                 .with("endpoint", endpoint.id())
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ProcessName.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ProcessName.java
@@ -6,10 +6,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Names one process of one VM in keys of the shared store.
+ * Identifies a process in the keys of the shared store that it owns.
  *
- * @param vm the VM
- * @param incarnation differs for each process of that VM
+ * @param vm the VM on which the process runs
+ * @param incarnation distinguishes the processes of one VM from each other
  */
 record ProcessName(VmId vm, long incarnation) {
     private static final String SEPARATOR = "/";
@@ -20,9 +20,12 @@
     }
 
     /**
-     * Returns the revision that a key must have for this process to take it: absent if nobody holds
-     * it, that of the holder if the holder was an earlier process of the same VM; empty if it may
-     * not be taken.
+     * Returns the revision to expect when this process takes over an ownership key: {@link
+     * Transaction#ABSENT} if the key has no holder, the holder's revision if the holder was an
+     * earlier process of the same VM, and empty if the key may not be taken.
+     *
+     * @param holder the value of the key; null if the key is absent
+     * @param revision the revision of the key
      */
     OptionalLong expectedRevision(@Nullable String holder, long revision) {
         if (holder == null) {
@@ -31,7 +34,7 @@
         return isSuccessorOf(holder) ? OptionalLong.of(revision) : OptionalLong.empty();
     }
 
-    /** Returns the form that is stored. */
+    /** Returns the form that is stored as the value of a key. */
     String format() {
         return vm + SEPARATOR + Long.toHexString(incarnation);
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ReadinessHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ReadinessHandler.java
@@ -5,7 +5,7 @@
 import org.ebonyrun.ports.http.FrontListener;
 import org.ebonyrun.ports.http.HttpHeaders;
 
-/** Tells the platform whether the entry is ready. Thread safe. */
+/** Responds to the platform's readiness probes. Thread safe. */
 final class ReadinessHandler implements FrontListener {
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -24,6 +24,6 @@
 
     @Override
     public void onAbandoned(FrontExchange exchange) {
-        // Nothing was begun for it.
+        // Nothing to cancel: requests are served at once.
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
@@ -27,43 +27,45 @@
 import org.ebonyrun.ports.http.SseEvent;
 
 /**
- * Carries out what the step machine decides: runs of samples, scores, results to store.
+ * Performs the I/O that the step state machine requests: runs samples at endpoints, sends the calls
+ * that score them, and has their results stored.
  *
- * <p>Not thread safe; confined to the entry's duty.
+ * <p>Not thread safe; confined to the entry's event loop.
  */
 final class SampleController implements StepOutputs, SampleExchange.Listener {
-    // A score may take this many times the goal of its route.
-    private static final long SCORE_GOALS = 4;
+    // A call that scores a sample times out after this multiple of the latency goal of its route.
+    private static final long SCORE_TIMEOUT_FACTOR = 4;
 
-    private final HostedContext mParts;
-    private final AsyncHttpClient mCaller;
+    private final HostedContext mContext;
+    private final AsyncHttpClient mHttpClient;
     private final StepMachine mMachine;
     private final Map<Long, SampleExchange> mRuns = new HashMap<>();
     private final RouteFinder mRoutes;
     private CallController mCalls;
-    private StepOwnership mOwner;
+    private StepOwnership mOwnership;
     private StepReader mReader;
 
-    /** Finds the route of a host and path. */
+    /** Finds routes by host and path. */
     interface RouteFinder {
-        /** Returns the route, if there is one. */
+        /** Returns the route of a host and path; empty if there is none. */
         Optional<Route> find(String host, String path);
     }
 
-    SampleController(HostedContext parts, AsyncHttpClient caller, Fleet fleet, RouteFinder routes) {
-        mParts = parts;
-        mCaller = caller;
+    SampleController(
+            HostedContext context, AsyncHttpClient httpClient, Fleet fleet, RouteFinder routes) {
+        mContext = context;
+        mHttpClient = httpClient;
         mRoutes = routes;
-        mMachine = StepMachine.create(fleet, parts.policy(), this);
+        mMachine = StepMachine.create(fleet, context.policy(), this);
     }
 
     StepMachine machine() {
         return mMachine;
     }
 
-    void bind(CallController calls, StepOwnership owner, StepReader reader) {
+    void bind(CallController calls, StepOwnership ownership, StepReader reader) {
         mCalls = calls;
-        mOwner = owner;
+        mOwnership = ownership;
         mReader = reader;
     }
 
@@ -74,10 +76,10 @@
             SampleSpec sample,
             Endpoint endpoint,
             int lastEvent,
-            RunOptions terms) {
-        SampleExchange exchange = new SampleExchange(run, endpoint.id(), mParts.executor(), this);
+            RunOptions options) {
+        SampleExchange exchange = new SampleExchange(run, endpoint.id(), mContext.executor(), this);
         mRuns.put(run, exchange);
-        mParts.log()
+        mContext.log()
                 .write(
                         LogLine.of("sample.sent")
                                 .with("request", sample.id())
@@ -86,13 +88,13 @@
                                 .with("endpoint", endpoint.id())
                                 .with("version", endpoint.version(step.model()))
                                 .with("active", endpoint.activeRequests())
-                                .with("expected_version", terms.expectedVersion())
+                                .with("expected_version", options.expectedVersion())
                                 .with("expected_tokens", sample.expectedTokens())
                                 .with("after", lastEvent));
         exchange.setExchange(
-                mCaller.send(
+                mHttpClient.send(
                         EndpointProtocol.newRunRequest(
-                                endpoint.record(), step.host(), sample, lastEvent, terms),
+                                endpoint.record(), step.host(), sample, lastEvent, options),
                         exchange));
     }
 
@@ -101,13 +103,13 @@
         SampleExchange exchange = mRuns.remove(run);
         if (exchange != null) {
             exchange.cancel();
-            mParts.metrics().count(EntryMetrics.SAMPLE_RUNS, "STOPPED");
+            mContext.metrics().count(EntryMetrics.SAMPLE_RUNS, "STOPPED");
             LogLine line =
                     LogLine.of("sample.stopped")
                             .with("run", run)
                             .with("events", exchange.eventCount())
                             .with("why", reason);
-            mParts.log().write(exchange.withConnection(line));
+            mContext.log().write(exchange.withConnection(line));
         }
     }
 
@@ -126,34 +128,34 @@
     }
 
     @Override
-    public void onEnd(long run, RunOutcome end, String detail) {
+    public void onEnd(long run, RunOutcome outcome, String detail) {
         SampleExchange exchange = mRuns.remove(run);
         if (exchange == null) {
             return;
         }
-        mParts.metrics().count(EntryMetrics.SAMPLE_RUNS, end.name());
+        mContext.metrics().count(EntryMetrics.SAMPLE_RUNS, outcome.name());
         LogLine line =
                 LogLine.of("sample.run")
                         .with("run", run)
                         .with("events", exchange.eventCount())
-                        .with("end", end)
+                        .with("end", outcome)
                         .with("detail", detail);
-        mParts.log().write(exchange.withConnection(line));
-        mMachine.onRunEnd(run, end, System.nanoTime());
+        mContext.log().write(exchange.withConnection(line));
+        mMachine.onRunEnd(run, outcome, System.nanoTime());
     }
 
     @Override
     public void startScoring(long run, StepSpec step, SampleSpec sample) {
         ScoreCall score =
-                checkNotNull(sample.score(), "sample %s has no score to ask for", sample.id());
+                checkNotNull(sample.score(), "sample %s has no call that scores it", sample.id());
         long now = System.nanoTime();
         Optional<Route> route = mRoutes.find(score.host(), score.path());
         if (route.isEmpty()) {
-            mParts.log().write(LogLine.of("score.unrouted").with("request", sample.id()));
+            mContext.log().write(LogLine.of("score.unrouted").with("request", sample.id()));
             mMachine.onScoreEnd(run, ScoreOutcome.UNKNOWN, "", 0, 1, now);
             return;
         }
-        long goal = Nanos.ofMillis(route.get().call().targetLatencyMillis());
+        long targetLatency = Nanos.ofMillis(route.get().call().targetLatencyMillis());
         CallSpec call =
                 new CallSpec(
                         mCalls.nextCallId(),
@@ -161,20 +163,21 @@
                         route.get(),
                         route.get().services().get(0).service(),
                         now,
-                        now + SCORE_GOALS * goal,
+                        now + SCORE_TIMEOUT_FACTOR * targetLatency,
                         true);
-        int allowed = route.get().call().maxAttempts();
+        int maxAttempts = route.get().call().maxAttempts();
         mCalls.onScoreCall(
                 call,
                 score,
-                (end, text, errors) ->
-                        mMachine.onScoreEnd(run, end, text, errors, allowed, System.nanoTime()),
+                (outcome, text, errors) ->
+                        mMachine.onScoreEnd(
+                                run, outcome, text, errors, maxAttempts, System.nanoTime()),
                 now);
     }
 
     @Override
     public void storeResults(StepId step, int position, List<SampleResult> results, boolean last) {
-        mOwner.append(step, position, results, last);
+        mOwnership.append(step, position, results, last);
     }
 
     @Override
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
@@ -10,81 +10,81 @@
 import org.ebonyrun.ports.http.SseEventParser;
 
 /**
- * One run of a sample at an endpoint.
+ * The HTTP exchange of one run of a sample at an endpoint.
  *
- * <p>The I/O thread cuts the stream into events; they reach the entry's duty in order, those of one
- * read together.
+ * <p>The I/O thread parses the stream into events. They reach the entry's event loop in order, all
+ * events of one network read in one batch.
  */
 final class SampleExchange extends EndpointExchange {
-    /** Hears of the run on the entry's duty. */
+    /** Receives the progress of the run on the entry's event loop. */
     interface Listener {
-        /** The stream began. */
+        /** Called when the stream starts. */
         void onStreamStart(long run, int version);
 
-        /** Events arrived. */
+        /** Called with the events that have arrived since the last call. */
         void onEvents(long run, List<SseEvent> events);
 
-        /** The run ended. */
-        void onEnd(long run, RunOutcome end, String detail);
+        /** Called once, when the run has ended. */
+        void onEnd(long run, RunOutcome outcome, String detail);
     }
 
     private final long mRun;
     private final String mEndpoint;
-    private final Listener mSink;
+    private final Listener mListener;
     private List<SseEvent> mEvents = new ArrayList<>();
     private final SseEventParser mParser = SseEventParser.create(event -> mEvents.add(event));
-    private boolean mStream;
-    private boolean mBroken;
-    private volatile int mCount;
+    private boolean mIsStream;
+    private boolean mMalformed;
+    private volatile int mEventCount;
 
-    SampleExchange(long run, String endpoint, Executor executor, Listener sink) {
+    SampleExchange(long run, String endpoint, Executor executor, Listener listener) {
         super(executor);
         mRun = run;
         mEndpoint = endpoint;
-        mSink = sink;
+        mListener = listener;
     }
 
-    /** Returns how many events have arrived. */
+    /** Returns the number of events that have arrived. */
     int eventCount() {
-        return mCount;
+        return mEventCount;
     }
 
     @Override
     public void onHead(HttpResponseHead head) {
         mHead = head;
-        mStream = EndpointProtocol.isStream(head);
-        if (mStream) {
+        mIsStream = EndpointProtocol.isStream(head);
+        if (mIsStream) {
             int version = EndpointProtocol.weightVersion(head);
-            runOnEventLoop(() -> mSink.onStreamStart(mRun, version));
+            runOnEventLoop(() -> mListener.onStreamStart(mRun, version));
         }
     }
 
     @Override
     public void onData(byte[] data) {
-        if (!mStream || mBroken) {
+        if (!mIsStream || mMalformed) {
             return;
         }
-        mBroken = !mParser.feed(data);
+        mMalformed = !mParser.feed(data);
         if (!mEvents.isEmpty()) {
             List<SseEvent> events = mEvents;
-            mCount += events.size();
+            mEventCount += events.size();
             mEvents = new ArrayList<>();
-            runOnEventLoop(() -> mSink.onEvents(mRun, events));
+            runOnEventLoop(() -> mListener.onEvents(mRun, events));
         }
     }
 
     @Override
     public void onEnd() {
-        RunOutcome end = end();
-        String detail = mHead == null ? "no head" : "status " + mHead.status();
-        runOnEventLoop(() -> mSink.onEnd(mRun, end, detail));
+        RunOutcome outcome = runOutcome();
+        String detail = mHead == null ? "no response head" : "status " + mHead.status();
+        runOnEventLoop(() -> mListener.onEnd(mRun, outcome, detail));
     }
 
-    private RunOutcome end() {
-        if (mHead == null || mBroken) {
+    private RunOutcome runOutcome() {
+        if (mHead == null || mMalformed) {
             return RunOutcome.BROKEN;
         }
-        if (!mStream) {
+        if (!mIsStream) {
             return EndpointProtocol.runOutcome(mHead, mEndpoint);
         }
         if (!mParser.isBetweenEvents()) {
@@ -95,7 +95,7 @@
 
     @Override
     public void onFailure(boolean sent, String detail) {
-        RunOutcome end = sent ? RunOutcome.BROKEN : RunOutcome.UNREACHABLE;
-        runOnEventLoop(() -> mSink.onEnd(mRun, end, detail));
+        RunOutcome outcome = sent ? RunOutcome.BROKEN : RunOutcome.UNREACHABLE;
+        runOnEventLoop(() -> mListener.onEnd(mRun, outcome, detail));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/package-info.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The role of an entry on a platform that has endpoints of its own: callers, endpoints and the
- * shared store are reached directly, without agents.
+ * The entry process for deployments whose platform provides the endpoints and the shared store. It
+ * calls both directly over HTTP, without agents.
  */
 @NullMarked
 package org.ebonyrun.daemon.hosted;
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
@@ -21,19 +21,21 @@
 
 class HostedEntryTest extends HostedFixture {
     @Test
-    void aCallIsAnsweredByTheEndpointOfItsRoute() {
-        HttpResponse reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
+    void callIsServedByAnEndpointOfItsRoute() {
+        HttpResponse response =
+                send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
 
-        assertThat(reply.status(), is(200));
-        assertThat(reply.text(), is(mScene.callBody()));
+        assertThat(response.status(), is(200));
+        assertThat(response.text(), is(mScene.callBody()));
     }
 
     @Test
-    void aCallThatAnEndpointRefusedIsTriedAgain() {
+    void callIsRetriedAfterARejection() {
         mScene.endpoint().rejectNext(1);
-        HttpResponse reply = send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
+        HttpResponse response =
+                send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
 
-        assertThat(reply.status(), is(200));
+        assertThat(response.status(), is(200));
     }
 
     @ParameterizedTest
@@ -45,12 +47,12 @@
         "GET, /lots/%2e%2e/, 404",
         "POST, /step/1, 400"
     })
-    void whatDoesNotExistOrCanNotBeReadIsSaidSo(String method, String path, int status) {
+    void unknownOrMalformedRequestsGetClientErrors(String method, String path, int status) {
         assertThat(send(mFirstFront, method, path, "x", "{}").status(), is(status));
     }
 
     @Test
-    void aStepIsAcceptedOnceAndReadAtEveryEntry() {
+    void stepIsAcceptedOnceAndReadableAtEveryEntry() {
         assertThat(
                 send(mFirstFront, "POST", mScene.stepPath(), "st1", mScene.stepBody()).status(),
                 is(202));
@@ -75,7 +77,7 @@
     }
 
     @Test
-    void aBrokenStreamGoesOnAfterItsLastEvent() {
+    void brokenStreamIsResumedAfterItsLastEvent() {
         mScene.endpoint().breakNextAfter(2);
         send(mFirstFront, "POST", mScene.stepPath(), "st2", mScene.stepBody());
         String text =
@@ -89,7 +91,7 @@
     }
 
     @Test
-    void anEndedStepStaysReadableAndEndsAgain() {
+    void endedStepStaysReadableAndCanBeEndedAgain() {
         send(mFirstFront, "POST", mScene.stepPath(), "st3", mScene.stepBody());
         readResults(mFirstFront, "st3");
 
@@ -101,7 +103,7 @@
     }
 
     @Test
-    void aLaterStepGoesOnWithTheTextsThatAnEndedOneLeft() {
+    void laterStepResumesTheTextsOfAnEndedStep() {
         mScene.endpoint().breakAllAfterEvent(2);
         send(mFirstFront, "POST", mScene.stepPath(), "st8", mScene.stepBody(1));
         awaitTrue(
@@ -124,7 +126,7 @@
     }
 
     @Test
-    void withoutCarriedTextsALaterStepBeginsAnew() throws IOException {
+    void laterStepStartsOverWithoutCarriedTexts() throws IOException {
         restartWithout(Mechanism.CARRIED_TEXTS);
         mScene.endpoint().breakAllAfterEvent(2);
         send(mFirstFront, "POST", mScene.stepPath(), "st12", mScene.stepBody(1));
@@ -145,15 +147,15 @@
     }
 
     @Test
-    void unreadableTextsOfAnEndedStepAreNotUsed() {
+    void unreadableTextsOfAnEndedStepAreIgnored() {
         mScene.endpoint().breakAllAfterEvent(2);
         send(mFirstFront, "POST", mScene.stepPath(), "st10", mScene.stepBody(1));
         awaitTrue(() -> mScene.endpoint().requestsRun().contains("sample-1@2"));
         send(mSecondFront, "DELETE", mScene.stepEndPath("st10"), "", "");
         String texts = StoreKeys.checkpointKey(StepId.of("st10"));
         awaitTrue(() -> mScene.platform().store().get(texts) != null);
-        String broken = "{\"texts\":[{\"id\":\"sample-1\",\"events\":[\"x\"],\"versions\":[]}]}";
-        mScene.platform().put(texts, broken);
+        String invalid = "{\"texts\":[{\"id\":\"sample-1\",\"events\":[\"x\"],\"versions\":[]}]}";
+        mScene.platform().put(texts, invalid);
         mScene.endpoint().breakAllAfterEvent(0);
         send(mSecondFront, "POST", mScene.stepPath(), "st11", mScene.stepBody(2));
         String text =
@@ -164,7 +166,7 @@
     }
 
     @Test
-    void aStepWhoseOwnerStopsIsFinishedByAnotherEntry() throws InterruptedException {
+    void stepIsFinishedByAnotherEntryAfterItsOwnerDrains() throws InterruptedException {
         mScene.endpoint().rejectNext(1_000_000);
         send(mFirstFront, "POST", mScene.stepPath(), "st4", mScene.stepBody());
         mFirstEntry.drain();
@@ -174,7 +176,7 @@
     }
 
     @Test
-    void aStepIsNotGivenUpByAnEntryThatDoesNotKnowItsRoute() throws IOException {
+    void stepIsNotAbandonedWhileTheConfigurationIsMissing() throws IOException {
         mScene.endpoint().rejectNext(Integer.MAX_VALUE);
         send(mFirstFront, "POST", mScene.stepPath(), "step-8", mScene.stepBody());
         mFirstEntry.close();
@@ -182,8 +184,13 @@
         mScene.withdrawConfiguration();
         mFirstFront = text(freeAddress());
         mFirstEntry = startEntry("edge-1", mFirstFront);
-        // Ends at once if the entry takes the step from the process before it on its VM.
-        sendUntil(reply -> reply.text().contains("taken"), mMetricsAddress, "GET", "/metrics", "");
+        // Returns as soon as the entry has taken the step over from its VM's previous process.
+        sendUntil(
+                response -> response.text().contains("taken"),
+                mMetricsAddress,
+                "GET",
+                "/metrics",
+                "");
         mScene.configure(1);
         mScene.endpoint().rejectNext(0);
 
@@ -193,7 +200,7 @@
     }
 
     @Test
-    void metricsCountWhatTheEntryDid() {
+    void metricsShowCallsAndTheConfigurationVersion() {
         send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
         String text = send(mMetricsAddress, "GET", "/metrics", "", "").text();
 
@@ -203,19 +210,20 @@
     }
 
     @Test
-    void aNewConfigurationIsInForceAndAnOlderOneIsNot() {
-        String without = mScene.config(3).replace("/call/", "/moved/");
-        mScene.platform().put("op/config", without);
-        sendUntil(reply -> reply.status() == 404, mFirstFront, "POST", mScene.callPath(), "c");
+    void newerConfigurationIsAppliedAndOlderOneIsIgnored() {
+        String movedRoute = mScene.config(3).replace("/call/", "/moved/");
+        mScene.platform().put("op/config", movedRoute);
+        sendUntil(
+                response -> response.status() == 404, mFirstFront, "POST", mScene.callPath(), "c");
         mScene.platform().put("op/config", mScene.config(2));
-        mScene.platform().put("op/config", without.replace("\"version\":3", "\"version\":4"));
+        mScene.platform().put("op/config", movedRoute.replace("\"version\":3", "\"version\":4"));
         sendUntil(HttpResponse::isSuccess, mFirstFront, "POST", "/moved/1", "c");
 
         assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "").status(), is(404));
     }
 
     @Test
-    void whileTheStoreRefusesNoStepIsAcceptedAndCallsAreServed() {
+    void stepsAreRefusedAndCallsServedDuringAStoreOutage() {
         mScene.platform().setFailureStatus(call -> 503);
 
         assertThat(
@@ -225,7 +233,7 @@
         mScene.platform().setFailureStatus(call -> 0);
         assertThat(
                 sendUntil(
-                                reply -> reply.status() == 404,
+                                response -> response.status() == 404,
                                 mSecondFront,
                                 "GET",
                                 mScene.resultsPath("st5", 0),
@@ -236,8 +244,8 @@
     }
 
     @Test
-    void aStepWhoseAcceptanceWasNotAnsweredIsFoundAndRunByItsOwner() {
-        // The first step brings the lease, so that the next call of the store is the acceptance.
+    void stepRunsThoughTheResponseToItsAcceptanceWasLost() {
+        // The first step acquires the lease, so the next call to the store accepts the second step.
         send(mFirstFront, "POST", mScene.stepPath(), "st6", mScene.stepBody());
         readResults(mFirstFront, "st6");
         mScene.platform().dropCommitResponses(1);
@@ -249,10 +257,10 @@
     }
 
     @Test
-    void aNamedVersionIsLoaded() {
+    void namedVersionIsLoaded() {
         mScene.platform().put("op/version/m", "{\"model\":\"m\",\"version\":3}");
         sendUntil(
-                reply -> mScene.endpoint().version() == 3,
+                response -> mScene.endpoint().version() == 3,
                 mFirstFront,
                 "POST",
                 mScene.callPath(),
@@ -267,19 +275,19 @@
         "GET / HTTP/9.9, HTTP/1.1 505",
         "POST /call/1 HTTP/1.1|Host: standin.example|Content-Length: x, HTTP/1.1 400"
     })
-    void aMalformedRequestIsRefusedAndNobodyElseIsTouched(String lines, String expected)
+    void malformedRequestIsRefusedAndOthersAreServed(String lines, String expected)
             throws IOException {
         String[] parts = mFirstFront.split(":");
         try (Socket socket = new Socket(parts[0], Integer.parseInt(parts[1]))) {
             socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
             String request = lines.replace("|", "\r\n") + "\r\n\r\n";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            byte[] answer = socket.getInputStream().readNBytes(expected.length());
+            byte[] response = socket.getInputStream().readNBytes(expected.length());
 
             boolean refusedOrClosed =
-                    answer.length == 0
-                            || new String(answer, StandardCharsets.US_ASCII).equals(expected);
-            assertThat(new String(answer, StandardCharsets.US_ASCII), refusedOrClosed, is(true));
+                    response.length == 0
+                            || new String(response, StandardCharsets.US_ASCII).equals(expected);
+            assertThat(new String(response, StandardCharsets.US_ASCII), refusedOrClosed, is(true));
         }
         assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "x").status(), is(200));
     }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
@@ -25,19 +25,20 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * A deployment of the stand-in with two entries, and a client of it.
+ * Starts two entries against a stand-in platform, and sends requests to them as a client.
  *
- * <p>Waits end with an event or after a number of exchanges, never after a time.
+ * <p>Waits end when their condition holds or after a fixed number of requests, never after a fixed
+ * time.
  */
 abstract class HostedFixture {
     static final int MAX_TRIES = 2_000;
-    // Below the ports that systems use for outgoing connections.
+    // Below the ephemeral ports that operating systems use for outgoing connections.
     private static final int FIRST_PORT = 12_000;
-    private static final int PORTS = 18_000;
+    private static final int PORT_COUNT = 18_000;
     private static final AtomicInteger NEXT_PORT =
             new AtomicInteger((int) ProcessHandle.current().pid() * 97);
     static final long TIMEOUT_MILLIS = 3_000;
-    // Above the time that the configuration allows for headers.
+    // Above the header timeout of the configuration.
     static final int SOCKET_TIMEOUT_MILLIS = 10_000;
 
     StandinDeployment mScene;
@@ -74,7 +75,7 @@
         mScene.close();
     }
 
-    /** Starts both entries again, without a mechanism. */
+    /** Restarts both entries with one mechanism switched off. */
     void restartWithout(Mechanism mechanism) throws IOException {
         mFirstEntry.close();
         mSecondEntry.close();
@@ -96,16 +97,16 @@
         return HostedEntry.start(parsed, EventLog.start(OutputStream.nullOutputStream()));
     }
 
-    /** Returns an address that is free, with a port that no outgoing connection is given. */
+    /** Returns a free address whose port is outside the range of ephemeral ports. */
     static InetSocketAddress freeAddress() throws IOException {
-        for (int i = 0; i < PORTS; i++) {
-            int port = FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), PORTS);
+        for (int i = 0; i < PORT_COUNT; i++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), PORT_COUNT);
             InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
             try (ServerSocket socket = new ServerSocket()) {
                 socket.bind(address);
                 return address;
             } catch (BindException ignored) {
-                // Another process has it; the next may be free.
+                // The port is in use; the next one may be free.
             }
         }
         throw new IOException("no port is free from " + FIRST_PORT + " on");
@@ -118,32 +119,46 @@
     HttpResponse send(String front, String method, String path, String id, String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         URI uri = URI.create("http://" + front + path);
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.to(method, uri, StandinDeployment.headers(id), bytes, TIMEOUT_MILLIS);
-        return mCaller.request(call, "test").join().fold(r -> r, f -> new HttpResponse(0, bytes));
+        return mCaller.request(request, "test")
+                .join()
+                .fold(r -> r, f -> new HttpResponse(0, bytes));
     }
 
-    /** Repeats a request until its answer is as wanted; each try takes the time of an exchange. */
+    /**
+     * Repeats a request, without pauses, until its response matches, at most {@link #MAX_TRIES}
+     * times.
+     */
     HttpResponse sendUntil(
-            Predicate<HttpResponse> wanted, String front, String method, String path, String id) {
-        HttpResponse reply = send(front, method, path, id, "");
-        for (int i = 0; i < MAX_TRIES && !wanted.test(reply); i++) {
-            reply = send(front, method, path, id, "");
+            Predicate<HttpResponse> condition,
+            String front,
+            String method,
+            String path,
+            String id) {
+        HttpResponse response = send(front, method, path, id, "");
+        for (int i = 0; i < MAX_TRIES && !condition.test(response); i++) {
+            response = send(front, method, path, id, "");
         }
-        return reply;
+        return response;
     }
 
-    /** Waits until something holds; each look takes the time of an exchange. */
-    void awaitTrue(BooleanSupplier wanted) {
-        sendUntil(reply -> wanted.getAsBoolean(), mFirstFront, "POST", mScene.callPath(), "look");
-        assertThat(wanted.getAsBoolean(), is(true));
+    /** Waits until a condition holds, sending a request between checks; fails if it never does. */
+    void awaitTrue(BooleanSupplier condition) {
+        sendUntil(
+                response -> condition.getAsBoolean(),
+                mFirstFront,
+                "POST",
+                mScene.callPath(),
+                "look");
+        assertThat(condition.getAsBoolean(), is(true));
     }
 
     void awaitReady(String front) {
         sendUntil(HttpResponse::isSuccess, front, "POST", mScene.callPath(), "warm");
     }
 
-    /** Reads all results of a step, page by page as a trainer does, and returns their text. */
+    /** Reads all results of a step page by page, as a trainer does; returns one result per line. */
     String readResults(String front, String step) {
         StringBuilder pages = new StringBuilder();
         int next = 0;
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSettingsTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSettingsTest.java
@@ -27,7 +27,7 @@
                             + " leaving_within: 2s, contact_within: 3s}");
 
     @Test
-    void readsWholeSettings() {
+    void parsesCompleteSettings() {
         HostedSettings.Parsed parsed = HostedSettings.parse("f", COMPLETE_SETTINGS);
 
         assertThat(parsed.problems(), is(empty()));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aReloadChangesLimitsAndNothingElse() {
+    void reloadChangesOnlyTheLimits() {
         HostedSettings before = HostedSettings.parse("f", COMPLETE_SETTINGS).settings();
         String changed =
                 COMPLETE_SETTINGS.replace("grace: 8s", "grace: 9s").replace("edge-1", "edge-2");
@@ -54,7 +54,7 @@
 
     @ParameterizedTest
     @EnumSource(Mechanism.class)
-    void eachMechanismIsUsedUnlessItIsSwitchedOff(Mechanism mechanism) {
+    void mechanismIsEnabledUnlessSwitchedOff(Mechanism mechanism) {
         String off = COMPLETE_SETTINGS + "\npolicy: {" + mechanism.settingKey() + ": false}";
         HostedSettings.Parsed parsed = HostedSettings.parse("f", off);
         HostedSettings all = HostedSettings.parse("f", COMPLETE_SETTINGS).settings();
@@ -64,7 +64,7 @@
         assertThat(HostedSettings.parse("f", on).settings().policy(), is(Policy.ALL));
         assertThat(parsed.problems(), is(empty()));
         assertThat(parsed.settings().policy(), is(Policy.ALL.without(mechanism)));
-        // A running process keeps its policy.
+        // A reload must not change the policy.
         assertThat(all.withLimitsOf(parsed.settings()).policy(), is(Policy.ALL));
         assertThat(all.isSameExceptLimits(parsed.settings()), is(false));
     }
@@ -82,7 +82,7 @@
                 "first_start: true | policy: {moves: 'no'} | policy.moves: not true or false: 'no'",
                 "first_start: true | policy: moves | policy: must be a mapping"
             })
-    void namesTheFieldOfEachProblem(String part, String replacement, String field) {
+    void reportsTheFieldOfEachProblem(String part, String replacement, String field) {
         String text = COMPLETE_SETTINGS.replace(part.strip(), replacement.strip());
         HostedSettings.Parsed parsed = HostedSettings.parse("f", text);
 
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
@@ -21,13 +21,17 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays steps and calls while store, endpoint and entries fail by turns, in a seeded order. */
+/**
+ * Runs steps and calls against two entries while failures of the store, the endpoint and the
+ * entries are injected in a seeded order. Checks that each step lists every sample complete and
+ * once, the same at both entries, and that each call gets its own response.
+ */
 class HostedSoakTest extends HostedFixture {
     private static final int STEPS = 12;
-    private static final int STEPS_WITHOUT = 5;
+    private static final int STEPS_WITHOUT_MECHANISM = 5;
 
-    /** What goes wrong while a step runs. */
-    private enum Trouble {
+    /** A failure or event that is injected before or while a step runs. */
+    private enum Disturbance {
         NOTHING,
         STORE_REFUSES_SOME,
         STORE_REFUSES_ALL,
@@ -45,53 +49,53 @@
     private int mConfig = 1;
     private int mCalls;
 
-    // More are played by hand with -Dsoak.seeds=N.
+    // Set -Dsoak.seeds=N to run more seeds.
     private static LongStream seeds() {
         return LongStream.rangeClosed(1, Long.getLong("soak.seeds", 3));
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void stepsAreDeliveredWholeAndOnceAndCallsGetTheirOwnAnswers(long seed) throws IOException {
-        play(seed, STEPS);
+    void stepsAreCompleteAndCallsGetTheirOwnResponses(long seed) throws IOException {
+        runSteps(seed, STEPS);
     }
 
     @ParameterizedTest
     @EnumSource(Mechanism.class)
-    void theSameHoldsWithoutAnyOneMechanism(Mechanism mechanism) throws IOException {
+    void stepsAreCompleteWithoutAnySingleMechanism(Mechanism mechanism) throws IOException {
         restartWithout(mechanism);
-        play(1, STEPS_WITHOUT);
+        runSteps(1, STEPS_WITHOUT_MECHANISM);
     }
 
-    private void play(long seed, int steps) throws IOException {
+    private void runSteps(long seed, int steps) throws IOException {
         Random random = new Random(seed);
-        Trouble[] troubles = Trouble.values();
+        Disturbance[] disturbances = Disturbance.values();
         for (int number = 1; number <= steps; number++) {
-            Trouble first = troubles[random.nextInt(troubles.length)];
-            Trouble second = troubles[random.nextInt(troubles.length)];
+            Disturbance first = disturbances[random.nextInt(disturbances.length)];
+            Disturbance second = disturbances[random.nextInt(disturbances.length)];
             String step = "soak-" + seed + "-" + number;
-            boolean atFirst = random.nextBoolean();
-            String why = "step " + step + " with " + first + " and " + second;
-            begin(first, random);
-            begin(second, random);
-            submit(step, number, atFirst);
+            boolean firstEntryFirst = random.nextBoolean();
+            String scenario = "step " + step + " with " + first + " and " + second;
+            injectBefore(first, random);
+            injectBefore(second, random);
+            submit(step, number, firstEntryFirst);
             call();
-            boolean ended = during(first, step) | during(second, step);
-            heal();
+            boolean ended = injectDuring(first, step) | injectDuring(second, step);
+            clearFaults();
             String listed = ended ? listed(mFirstFront, step) : readResults(mFirstFront, step);
-            check(why, listed, ended ? 0 : 1);
+            checkSamples(scenario, listed, ended ? 0 : 1);
             String other = ended ? listed(mSecondFront, step) : readResults(mSecondFront, step);
-            check(why, other, ended ? 0 : 1);
-            // What was being stored when the step ended may still be listed.
-            assertThat(why, other, ended ? startsWith(listed) : is(listed));
-            // What one entry has shown, the other shows too.
-            assertThat(why, listed(mFirstFront, step), startsWith(other));
+            checkSamples(scenario, other, ended ? 0 : 1);
+            // Results whose storing was in progress when the step ended may be listed later.
+            assertThat(scenario, other, ended ? startsWith(listed) : is(listed));
+            // Results that one entry has returned, the other one returns too.
+            assertThat(scenario, listed(mFirstFront, step), startsWith(other));
             call();
         }
     }
 
-    private void begin(Trouble trouble, Random random) {
-        switch (trouble) {
+    private void injectBefore(Disturbance disturbance, Random random) {
+        switch (disturbance) {
             case STORE_REFUSES_SOME ->
                     mScene.platform().setFailureStatus(n -> n % 3 == 0 ? 503 : 0);
             case STORE_LOSES_COMMITS ->
@@ -100,35 +104,35 @@
             case ENDPOINT_REFUSES -> mScene.endpoint().rejectNext(1 + random.nextInt(5));
             case STREAM_BREAKS -> mScene.endpoint().breakNextAfter(random.nextInt(3));
             default -> {
-                // Goes wrong once the step runs.
+                // Injected while the step runs.
             }
         }
     }
 
-    /** Submits a step at the entries in turn, as a trainer does, until one has accepted it. */
-    private void submit(String step, int number, boolean atFirst) {
+    /** Submits a step to the entries in turn, as a trainer does, until one has accepted it. */
+    private void submit(String step, int number, boolean firstEntryFirst) {
         String body = mScene.stepBody(number);
         int status = 0;
         for (int i = 0; i < MAX_TRIES && status != 202; i++) {
-            String front = atFirst == (i % 2 == 0) ? mFirstFront : mSecondFront;
+            String front = firstEntryFirst == (i % 2 == 0) ? mFirstFront : mSecondFront;
             status = send(front, "POST", mScene.stepPath(), step, body).status();
         }
         assertThat(step, status, is(202));
     }
 
-    /** Sends a call, whose answer is its own body. */
+    /** Sends a call and checks that the response echoes its body. */
     private void call() {
         String body = "call-" + ++mCalls;
         String front = mCalls % 2 == 0 ? mFirstFront : mSecondFront;
-        HttpResponse reply = send(front, "POST", mScene.callPath(), body, body);
+        HttpResponse response = send(front, "POST", mScene.callPath(), body, body);
 
-        assertThat(body, reply.status(), is(200));
-        assertThat(reply.text(), is(body));
+        assertThat(body, response.status(), is(200));
+        assertThat(response.text(), is(body));
     }
 
-    /** Returns whether the step ended before it was whole. */
-    private boolean during(Trouble trouble, String step) throws IOException {
-        switch (trouble) {
+    /** Injects a disturbance while a step runs; returns whether it ended the step early. */
+    private boolean injectDuring(Disturbance disturbance, String step) throws IOException {
+        switch (disturbance) {
             case STORE_REFUSES_ALL -> {
                 mScene.platform().setFailureStatus(n -> 503);
                 call();
@@ -159,18 +163,21 @@
                 }
             }
             default -> {
-                // Went wrong before the step was submitted.
+                // Injected before the step was submitted.
             }
         }
         return false;
     }
 
-    /** Stops the step's owner without notice, lets its lease lapse, and starts its VM again. */
+    /**
+     * Stops the step's owner abruptly, removes its owner key as the expiry of its lease would, and
+     * starts a new process on its VM.
+     */
     private void crashOwner(String step) throws IOException {
         String key = StoreKeys.liveKey(StepId.of(step), StoreKeys.OWNER);
         StandinStore.Entry owner = mScene.platform().store().get(key);
         if (owner == null) {
-            // It has crashed before, or the step is over.
+            // The owner has crashed before, or the step is over.
             return;
         }
         String name = new String(Base64.getDecoder().decode(owner.value()), StandardCharsets.UTF_8);
@@ -189,15 +196,15 @@
         awaitReady(front);
     }
 
-    private void heal() {
+    private void clearFaults() {
         mScene.platform().setFailureStatus(n -> 0);
         mScene.platform().dropCommitResponses(0);
         mScene.endpoint().rejectNext(0);
     }
 
     /**
-     * Reads what is listed of a step now: pages up to the first empty one, since a page need not
-     * hold all that follows.
+     * Returns the results of a step that are listed now. Reads pages up to the first empty one,
+     * since a page may hold fewer results than are listed.
      */
     private String listed(String front, String step) {
         StringBuilder results = new StringBuilder();
@@ -214,16 +221,19 @@
         return results.toString();
     }
 
-    /** Checks that each sample is listed whole, and once; at least {@code least} times. */
-    private void check(String why, String listed, int least) {
+    /** Checks that each sample is listed once, or {@code atLeast} times, with its whole text. */
+    private void checkSamples(String scenario, String listed, int atLeast) {
         for (int i = 1; i <= mScene.samplesPerStep(); i++) {
             String sample = "sample-" + i;
             String text =
                     StandinEndpoint.completeText(sample, mScene.eventsPerSample())
                             .replace("\n", "\\n");
             int count = count(listed, "\"id\":\"" + sample + "\"");
-            assertThat(why + ": " + listed, count, anyOf(is(least), is(1)));
-            assertThat(why + ": " + listed, count(listed, "\"text\":\"" + text + "\""), is(count));
+            assertThat(scenario + ": " + listed, count, anyOf(is(atLeast), is(1)));
+            assertThat(
+                    scenario + ": " + listed,
+                    count(listed, "\"text\":\"" + text + "\""),
+                    is(count));
         }
     }
 
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/OrderLogTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/OrderLogTest.java
@@ -27,11 +27,12 @@
     private static final long FENCE = 7;
     private static final OrderAges AGES =
             new OrderAges(Map.of("e1", Nanos.ofMillis(5)), Map.of("e2", Nanos.ofMillis(1_900)));
-    // An order may be given up to a second after it was noted.
-    private static final OrderAges READ =
+    // An order may be sent up to a second after its age was taken, so 1,000 ms are subtracted from
+    // each recorded age.
+    private static final OrderAges AGES_READ =
             new OrderAges(Map.of("e1", Nanos.ofMillis(-995)), Map.of("e2", Nanos.ofMillis(900)));
 
-    /** A store that keeps the note, and answers commits when the test says so. */
+    /** A store that keeps all transactions, and completes commits when the test does so. */
     private static final class FakeStore extends StubStore {
         final List<CompletableFuture<Result<CommitResult>>> mCommits = new ArrayList<>();
         final List<Transaction> mTransactions = new ArrayList<>();
@@ -54,7 +55,7 @@
     }
 
     private final FakeStore mStore = new FakeStore();
-    private final List<String> mSaid = new ArrayList<>();
+    private final List<String> mEvents = new ArrayList<>();
     private long mNow;
     private final OrderLog mOrders =
             new OrderLog(
@@ -63,66 +64,66 @@
                     () -> mNow,
                     EventLog.start(OutputStream.nullOutputStream()),
                     now -> Optional.of(AGES),
-                    why -> mSaid.add("lost"));
+                    why -> mEvents.add("lost"));
 
     private void note(String order) {
         mOrders.recordThenSend(
-                () -> mSaid.add("give " + order), () -> mSaid.add("refuse " + order));
+                () -> mEvents.add("send " + order), () -> mEvents.add("refuse " + order));
     }
 
-    private void answer(int call, CommitOutcome outcome) {
+    private void completeCommit(int call, CommitOutcome outcome) {
         mStore.mCommits.get(call).complete(Result.ok(new CommitResult(outcome, 9, List.of())));
     }
 
     @Test
-    void anOrderIsGivenOnceItIsNotedUnderTheHoldersKey() {
+    void orderIsSentAfterItWasRecordedUnderTheHoldersKey() {
         mOrders.start(FENCE);
         note("a");
-        assertThat(mSaid, is(empty()));
+        assertThat(mEvents, is(empty()));
         Transaction.Expectation expected = mStore.mTransactions.get(0).expectations().get(0);
         assertThat(expected, is(new Transaction.Expectation(StoreKeys.PLANNER, FENCE)));
 
-        answer(0, CommitOutcome.COMMITTED);
-        assertThat(mSaid, contains("give a"));
+        completeCommit(0, CommitOutcome.COMMITTED);
+        assertThat(mEvents, contains("send a"));
     }
 
     @Test
-    void ordersThatComeWhileTheStoreIsAskedShareTheNextNote() {
+    void ordersDuringAnOpenCommitShareTheNextOne() {
         mOrders.start(FENCE);
         note("a");
         note("b");
         note("c");
-        answer(0, CommitOutcome.COMMITTED);
-        answer(1, CommitOutcome.COMMITTED);
+        completeCommit(0, CommitOutcome.COMMITTED);
+        completeCommit(1, CommitOutcome.COMMITTED);
 
         assertThat(mStore.mTransactions.size(), is(2));
-        assertThat(mSaid, contains("give a", "give b", "give c"));
+        assertThat(mEvents, contains("send a", "send b", "send c"));
     }
 
     @Test
-    void aHolderThatLostItsKeyGivesNoOrder() {
+    void holderThatLostItsKeySendsNoOrder() {
         mOrders.start(FENCE);
         note("a");
-        answer(0, CommitOutcome.CONFLICT);
+        completeCommit(0, CommitOutcome.CONFLICT);
 
-        assertThat(mSaid, contains("refuse a", "lost"));
+        assertThat(mEvents, contains("refuse a", "lost"));
     }
 
     @Test
-    void anOrderWhoseNoteHasNoAnswerOrCameLateIsRefused() {
+    void orderIsRefusedIfItsRecordFailedOrWasLate() {
         mOrders.start(FENCE);
         note("a");
         Fault fault = Fault.unknown(FaultCode.PLATFORM_UNAVAILABLE, "test", "", "no answer");
         mStore.mCommits.get(0).complete(Result.err(fault));
         note("b");
         mNow += Nanos.ofMillis(1_500);
-        answer(1, CommitOutcome.COMMITTED);
+        completeCommit(1, CommitOutcome.COMMITTED);
 
-        assertThat(mSaid, contains("refuse a", "refuse b"));
+        assertThat(mEvents, contains("refuse a", "refuse b"));
     }
 
     @Test
-    void theNextHolderReadsTheAgesOfTheHolderBeforeIt() {
+    void nextHolderReadsTheAgesOfItsPredecessor() {
         mOrders.start(FENCE);
         List<Optional<OrderAges>> read = new ArrayList<>();
         mOrders.read(0, read::add);
@@ -133,6 +134,10 @@
 
         assertThat(
                 read,
-                contains(Optional.empty(), Optional.of(READ), Optional.of(READ), Optional.empty()));
+                contains(
+                        Optional.empty(),
+                        Optional.of(AGES_READ),
+                        Optional.of(AGES_READ),
+                        Optional.empty()));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ProcessNameTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ProcessNameTest.java
@@ -14,18 +14,18 @@
     private static final ProcessName SELF = new ProcessName(VmId.of("edge-1"), 0xabc);
 
     @Test
-    void aFreeKeyIsTakenOnlyWhileItIsAbsent() {
+    void expectsAFreeKeyToBeAbsent() {
         assertThat(SELF.expectedRevision(null, 0), is(OptionalLong.of(Transaction.ABSENT)));
     }
 
     @Test
-    void aKeyOfAnEarlierProcessOfTheVmIsReplacedAtItsRevision() {
+    void expectsTheRevisionOfAnEarlierProcessOfTheSameVm() {
         assertThat(SELF.expectedRevision("edge-1/def", 42), is(OptionalLong.of(42)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"edge-1/abc", "edge-11/def", "edge-2/abc", "", "edge-1"})
-    void aKeyOfThisProcessOrOfAnotherVmIsNotTaken(String holder) {
+    void doesNotTakeAKeyOfThisProcessOrOfAnotherVm(String holder) {
         assertThat(SELF.expectedRevision(holder, 42), is(OptionalLong.empty()));
     }
 }
