--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryMetrics.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryMetrics.java
@@ -37,7 +37,7 @@
     static final String STEPS = "ebonyrun_entry_steps";
 
     /** Unsolicited and late responses that were dropped, by reason. */
-    static final String DROPPED_ANSWERS = "ebonyrun_entry_dropped_answers";
+    static final String DROPPED_RESPONSES = "ebonyrun_entry_dropped_answers";
 
     /** Weight orders to endpoints, by reply. */
     static final String ORDERS = "ebonyrun_entry_orders";
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -341,7 +341,7 @@
                 .execute(
                         () ->
                                 mMetrics.count(
-                                        EntryMetrics.DROPPED_ANSWERS, response.reason().name()));
+                                        EntryMetrics.DROPPED_RESPONSES, response.reason().name()));
     }
 
     private boolean isIdle() {
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
@@ -44,9 +44,9 @@
     void replaceEndpoint() throws IOException {
         mEndpoint =
                 FaultInjectingEndpoint.start(
-                        "i-2", mScene.eventsPerSample(), FaultInjector.disabled());
-        mScene.unregister("i-1");
-        mScene.register(mEndpoint.id(), mEndpoint.address(), "ready", 1);
+                        "i-2", mDeployment.eventsPerSample(), FaultInjector.disabled());
+        mDeployment.unregister("i-1");
+        mDeployment.register(mEndpoint.id(), mEndpoint.address(), "ready", 1);
         callUntilServedBy(mFirstFront, mEndpoint);
         callUntilServedBy(mSecondFront, mEndpoint);
     }
@@ -61,7 +61,7 @@
         boolean served = false;
         for (int i = 0; i < MAX_WARM_UP_CALLS && !served; i++) {
             String id = "warm-" + front + "-" + i;
-            send(front, "POST", mScene.callPath(), id, "warm");
+            send(front, "POST", mDeployment.callPath(), id, "warm");
             served = !endpoint.received(id).isEmpty();
         }
         assertThat(front + " uses " + endpoint.id(), served, is(true));
@@ -82,7 +82,8 @@
                         StandinDeployment.headers(id, deadlineMillis),
                         bytes,
                         CALLER_MILLIS + TIMEOUT_MILLIS);
-        return mCaller.request(call, "test")
+        return mHttpClient
+                .request(call, "test")
                 .thenApply(
                         result -> result.fold(r -> r, fault -> new HttpResponse(0, new byte[0])));
     }
@@ -105,14 +106,14 @@
     }
 
     void submit(String front, String step, String body) {
-        assertThat(step, send(front, "POST", mScene.stepPath(), step, body).status(), is(202));
+        assertThat(step, send(front, "POST", mDeployment.stepPath(), step, body).status(), is(202));
     }
 
     /** Reads results of a step until an expected number is listed. */
     List<JsonNode> readResults(String front, String step, int expected) {
         List<JsonNode> results = new ArrayList<>();
         for (int i = 0; i < MAX_PAGES && results.size() < expected; i++) {
-            String path = mScene.resultsPath(step, results.size());
+            String path = mDeployment.resultsPath(step, results.size());
             HttpResponse page = send(front, "GET", path, "", "");
             if (page.isSuccess()) {
                 JsonTrees.read(page.body()).path("results").forEach(results::add);
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
@@ -98,15 +98,15 @@
         mRandom = new Random(seed);
         mOther =
                 FaultInjectingEndpoint.start(
-                        "i-3", mScene.eventsPerSample(), FaultInjector.disabled());
-        mScene.register(mOther.id(), mOther.address(), "ready", 1);
+                        "i-3", mDeployment.eventsPerSample(), FaultInjector.disabled());
+        mDeployment.register(mOther.id(), mOther.address(), "ready", 1);
         mEndpoint.setFaultInjector(
                 FaultInjector.seeded(mRandom.nextLong(), SINGLE_RESPONSE_PREFIX));
         mOther.setFaultInjector(FaultInjector.seeded(mRandom.nextLong(), SINGLE_RESPONSE_PREFIX));
         int versionAt = mRandom.nextInt(ACTIONS);
         for (int i = 0; i < ACTIONS; i++) {
             if (i == versionAt) {
-                mScene.nameVersion(VERSION);
+                mDeployment.nameVersion(VERSION);
             }
             act("s" + seed + "-" + i);
         }
@@ -146,7 +146,7 @@
 
     private void call(String id, boolean onceOnly) {
         String body = "body of " + id;
-        String path = onceOnly ? mScene.nonIdempotentCallPath() : mScene.callPath();
+        String path = onceOnly ? mDeployment.nonIdempotentCallPath() : mDeployment.callPath();
         Call call =
                 new Call(
                         id, onceOnly, body, sendAsync(anyFront(), path, id, body, DEADLINE_MILLIS));
@@ -162,7 +162,7 @@
     private void poll() {
         String id = SINGLE_RESPONSE_PREFIX + "-" + ++mPolls;
         String body = "body of " + id;
-        HttpResponse response = send(anyFront(), "POST", mScene.callPath(), id, body);
+        HttpResponse response = send(anyFront(), "POST", mDeployment.callPath(), id, body);
         if (response.isSuccess()) {
             assertThat(id, response.text(), is(body));
         }
@@ -196,10 +196,10 @@
             samples.add(mSamples.get(mRandom.nextInt(mSamples.size())));
         }
         boolean scored = mRandom.nextBoolean();
-        String body = mScene.stepBody(mSteps.size() + 1, samples, scored);
+        String body = mDeployment.stepBody(mSteps.size() + 1, samples, scored);
         int status = 0;
         for (int i = 0; i < MAX_TRIES && status != 202; i++) {
-            status = send(anyFront(), "POST", mScene.stepPath(), id, body).status();
+            status = send(anyFront(), "POST", mDeployment.stepPath(), id, body).status();
         }
         assertThat(id, status, is(202));
         Step step = new Step(id, samples, scored);
@@ -229,7 +229,7 @@
 
     private List<JsonNode> page(String front, String step, int from) {
         List<JsonNode> results = new ArrayList<>();
-        HttpResponse response = send(front, "GET", mScene.resultsPath(step, from), "", "");
+        HttpResponse response = send(front, "GET", mDeployment.resultsPath(step, from), "", "");
         if (response.isSuccess()) {
             JsonTrees.read(response.body()).path("results").forEach(results::add);
         }
@@ -308,7 +308,7 @@
             }
             return;
         }
-        checkText(result, mScene.eventsPerSample(), received(sample));
+        checkText(result, mDeployment.eventsPerSample(), received(sample));
         if (step.scored()) {
             String score = result.path("score").asText();
             long matching =
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
@@ -46,7 +46,8 @@
                 FaultInjector.scripted(Map.of("u1", List.of(rejection, DELAYED))));
         HttpResponse response =
                 awaitResponse(
-                        sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "u1", "pay"), "u1");
+                        sendAsync(mFirstFront, mDeployment.nonIdempotentCallPath(), "u1", "pay"),
+                        "u1");
 
         assertThat("runs of the call", mEndpoint.runs("u1").size(), is(1));
         checkEchoed(response, "pay");
@@ -64,7 +65,7 @@
                     awaitResponse(
                             sendAsync(
                                     mFirstFront,
-                                    mScene.nonIdempotentCallPath(),
+                                    mDeployment.nonIdempotentCallPath(),
                                     id,
                                     "pay",
                                     deadlineMillis),
@@ -92,9 +93,9 @@
             Reply reply, Repeat repeat, Framing framing) {
         Plan other = Plan.of(reply).withRepeat(repeat).withFraming(framing, framing);
         mEndpoint.setFaultInjector(FaultInjector.scripted(Map.of("x1", List.of(other))));
-        sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "x1", "other").join();
+        sendAsync(mFirstFront, mDeployment.nonIdempotentCallPath(), "x1", "other").join();
         HttpResponse own =
-                sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "u3", "pay").join();
+                sendAsync(mFirstFront, mDeployment.nonIdempotentCallPath(), "u3", "pay").join();
 
         checkEchoed(own, "pay");
         assertThat("runs of the call", mEndpoint.runs("u3").size(), is(1));
@@ -107,7 +108,7 @@
         for (int i = 0; i < 6; i++) {
             String id = "turn-" + i;
             checkEchoed(
-                    send(mFirstFront, "POST", mScene.callPath(), id, "body of " + id),
+                    send(mFirstFront, "POST", mDeployment.callPath(), id, "body of " + id),
                     "body of " + id);
             runs.add(mEndpoint.runs(id).size());
         }
@@ -121,7 +122,7 @@
         Plan delayed = failure.withHold(Hold.BEHIND_ANOTHER, FaultInjector.UNTIL_RELEASED);
         mEndpoint.setFaultInjector(
                 FaultInjector.scripted(Map.of("p1", List.of(failure, delayed, RUN))));
-        submit(mFirstFront, "st1", mScene.stepBody(1, List.of("p1"), false));
+        submit(mFirstFront, "st1", mDeployment.stepBody(1, List.of("p1"), false));
         pollUntil(RETRY_POLLS, () -> mEndpoint.received("p1").size() > 2);
         mEndpoint.release();
         JsonNode result = readResults(mFirstFront, "st1", 1).get(0);
@@ -129,7 +130,7 @@
 
         assertThat(
                 "state after " + failures + " failures", result.path("state").asText(), is("done"));
-        checkText(result, mScene.eventsPerSample(), mEndpoint.received());
+        checkText(result, mDeployment.eventsPerSample(), mEndpoint.received());
     }
 
     @Test
@@ -139,17 +140,17 @@
                         .withHold(Hold.ALWAYS, FaultInjector.UNTIL_RELEASED);
         mEndpoint.setFaultInjector(
                 FaultInjector.scripted(Map.of("p1", List.of(unframed, DUPLICATED, RUN))));
-        submit(mFirstFront, "st2", mScene.stepBody(2, List.of("p1", "p2"), false));
+        submit(mFirstFront, "st2", mDeployment.stepBody(2, List.of("p1", "p2"), false));
         readResults(mFirstFront, "st2", 1);
         pollUntil(RETRY_POLLS, () -> !mEndpoint.runs("p1").isEmpty());
         mEndpoint.release();
         readResults(mFirstFront, "st2", 2);
         // A lower step number, so that no text of the first step is carried over.
-        submit(mFirstFront, "st3", mScene.stepBody(1, List.of("p1"), false));
+        submit(mFirstFront, "st3", mDeployment.stepBody(1, List.of("p1"), false));
 
         checkText(
                 readResults(mFirstFront, "st3", 1).get(0),
-                mScene.eventsPerSample(),
+                mDeployment.eventsPerSample(),
                 mEndpoint.received());
     }
 
@@ -159,14 +160,14 @@
         mEndpoint.setFaultInjector(
                 FaultInjector.scripted(
                         Map.of("p1", List.of(broken, RUN), "x1", List.of(DUPLICATED))));
-        submit(mFirstFront, "st4", mScene.stepBody(1, List.of("p1"), false));
+        submit(mFirstFront, "st4", mDeployment.stepBody(1, List.of("p1"), false));
         pollUntil(RETRY_POLLS, () -> !mEndpoint.runs("p1").isEmpty());
         // The first run occupies a connection, so this call leaves its duplicate on another one.
-        checkEchoed(send(mFirstFront, "POST", mScene.callPath(), "x1", "other"), "other");
+        checkEchoed(send(mFirstFront, "POST", mDeployment.callPath(), "x1", "other"), "other");
         mEndpoint.release();
         JsonNode result = readResults(mFirstFront, "st4", 1).get(0);
 
-        checkText(result, mScene.eventsPerSample(), mEndpoint.received());
+        checkText(result, mDeployment.eventsPerSample(), mEndpoint.received());
         List<Integer> requested =
                 mEndpoint.received("p1").stream().map(r -> r.request().lastEvent()).toList();
         assertThat("events after which runs were requested", requested, is(List.of(0, 2)));
@@ -179,9 +180,9 @@
         for (int i = 1; i <= 4; i++) {
             String step = "st5-" + i;
             List<String> samples = List.of("p" + i + "a", "p" + i + "b", "p" + i + "c");
-            submit(mFirstFront, step, mScene.stepBody(i, samples, false));
+            submit(mFirstFront, step, mDeployment.stepBody(i, samples, false));
             for (JsonNode result : readResults(mFirstFront, step, samples.size())) {
-                checkText(result, mScene.eventsPerSample(), mEndpoint.received());
+                checkText(result, mDeployment.eventsPerSample(), mEndpoint.received());
             }
             for (String sample : samples) {
                 assertThat("runs of " + sample, mEndpoint.runs(sample).size(), is(1));
@@ -194,12 +195,15 @@
         mEndpoint.setFaultInjector(
                 FaultInjector.scripted(
                         Map.of(
-                                mScene.reportPath(), List.of(DUPLICATED, RUN),
-                                mScene.orderPath(), List.of(Plan.of(Reply.CONFLICT), RUN))));
-        mScene.nameVersion(3);
+                                mDeployment.reportPath(), List.of(DUPLICATED, RUN),
+                                mDeployment.orderPath(), List.of(Plan.of(Reply.CONFLICT), RUN))));
+        mDeployment.nameVersion(3);
         pollUntil(PLANNER_POLLS, () -> mEndpoint.version() == 3);
 
-        assertThat("orders " + mEndpoint.received(mScene.orderPath()), mEndpoint.version(), is(3));
+        assertThat(
+                "orders " + mEndpoint.received(mDeployment.orderPath()),
+                mEndpoint.version(),
+                is(3));
     }
 
     @Test
@@ -207,16 +211,19 @@
         mEndpoint.setFaultInjector(
                 FaultInjector.scripted(
                         Map.of(
-                                mScene.reportPath(), List.of(DELAYED),
-                                mScene.orderPath(),
+                                mDeployment.reportPath(), List.of(DELAYED),
+                                mDeployment.orderPath(),
                                         List.of(DUPLICATED, Plan.of(Reply.CONFLICT), RUN))));
-        mScene.nameVersion(3);
-        pollUntil(PLANNER_POLLS, () -> mEndpoint.received(mScene.reportPath()).size() > 1);
+        mDeployment.nameVersion(3);
+        pollUntil(PLANNER_POLLS, () -> mEndpoint.received(mDeployment.reportPath()).size() > 1);
         assertThat(mEndpoint.version(), is(3));
-        mScene.nameVersion(5);
+        mDeployment.nameVersion(5);
         pollUntil(PLANNER_POLLS, () -> mEndpoint.version() == 5);
 
-        assertThat("orders " + mEndpoint.received(mScene.orderPath()), mEndpoint.version(), is(5));
+        assertThat(
+                "orders " + mEndpoint.received(mDeployment.orderPath()),
+                mEndpoint.version(),
+                is(5));
     }
 
     @Test
@@ -226,12 +233,14 @@
         boolean rejectedOnce = false;
         for (int i = 0; i < MAX_TRIES && !rejectedOnce; i++) {
             String id = "x-" + i;
-            sendAsync(mFirstFront, mScene.callPath(), id, "other", SHORT_DEADLINE_MILLIS).join();
+            sendAsync(mFirstFront, mDeployment.callPath(), id, "other", SHORT_DEADLINE_MILLIS)
+                    .join();
             rejectedOnce = mEndpoint.received(id).size() == 1;
         }
         HttpResponse response =
                 awaitResponse(
-                        sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "u4", "pay"), "u4");
+                        sendAsync(mFirstFront, mDeployment.nonIdempotentCallPath(), "u4", "pay"),
+                        "u4");
 
         checkRunOnceOrLost("u4", response);
     }
@@ -240,9 +249,9 @@
     void nonIdempotentCallDoesNotFailDespitePrecedingFailureWithoutRequestId() {
         Plan failure = Plan.of(Reply.FAILED).withRepeat(Repeat.LATE).withoutRequestIdInRepeat();
         mEndpoint.setFaultInjector(FaultInjector.scripted(Map.of("x1", List.of(failure))));
-        sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "x1", "other").join();
+        sendAsync(mFirstFront, mDeployment.nonIdempotentCallPath(), "x1", "other").join();
         HttpResponse response =
-                sendAsync(mFirstFront, mScene.nonIdempotentCallPath(), "u5", "pay").join();
+                sendAsync(mFirstFront, mDeployment.nonIdempotentCallPath(), "u5", "pay").join();
 
         checkRunOnceOrLost("u5", response);
     }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
@@ -23,17 +23,17 @@
     @Test
     void callIsServedByAnEndpointOfItsRoute() {
         HttpResponse response =
-                send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
+                send(mFirstFront, "POST", mDeployment.callPath(), "c1", mDeployment.callBody());
 
         assertThat(response.status(), is(200));
-        assertThat(response.text(), is(mScene.callBody()));
+        assertThat(response.text(), is(mDeployment.callBody()));
     }
 
     @Test
     void callIsRetriedAfterARejection() {
-        mScene.endpoint().rejectNext(1);
+        mDeployment.endpoint().rejectNext(1);
         HttpResponse response =
-                send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
+                send(mFirstFront, "POST", mDeployment.callPath(), "c1", mDeployment.callBody());
 
         assertThat(response.status(), is(200));
     }
@@ -54,13 +54,15 @@
     @Test
     void stepIsAcceptedOnceAndReadableAtEveryEntry() {
         assertThat(
-                send(mFirstFront, "POST", mScene.stepPath(), "st1", mScene.stepBody()).status(),
+                send(mFirstFront, "POST", mDeployment.stepPath(), "st1", mDeployment.stepBody())
+                        .status(),
                 is(202));
         assertThat(
-                send(mSecondFront, "POST", mScene.stepPath(), "st1", mScene.stepBody()).status(),
+                send(mSecondFront, "POST", mDeployment.stepPath(), "st1", mDeployment.stepBody())
+                        .status(),
                 is(202));
         String text =
-                StandinEndpoint.completeText("sample-1", mScene.eventsPerSample())
+                StandinEndpoint.completeText("sample-1", mDeployment.eventsPerSample())
                         .replace("\n", "\\n");
         String own = readResults(mFirstFront, "st1");
         String other = readResults(mSecondFront, "st1");
@@ -70,96 +72,101 @@
         assertThat(own, containsString("\"versions\":[1]"));
         assertThat(other, is(own));
         assertThat(
-                mScene.endpoint().requestsRun().stream().filter("sample-1@0"::equals).count(),
+                mDeployment.endpoint().requestsRun().stream().filter("sample-1@0"::equals).count(),
                 is(1L));
         assertThat(
-                send(mSecondFront, "GET", mScene.samplePath("st1"), "", "").body().length, is(3));
+                send(mSecondFront, "GET", mDeployment.samplePath("st1"), "", "").body().length,
+                is(3));
     }
 
     @Test
     void brokenStreamIsResumedAfterItsLastEvent() {
-        mScene.endpoint().breakNextAfter(2);
-        send(mFirstFront, "POST", mScene.stepPath(), "st2", mScene.stepBody());
+        mDeployment.endpoint().breakNextAfter(2);
+        send(mFirstFront, "POST", mDeployment.stepPath(), "st2", mDeployment.stepBody());
         String text =
-                StandinEndpoint.completeText("sample-1", mScene.eventsPerSample())
+                StandinEndpoint.completeText("sample-1", mDeployment.eventsPerSample())
                         .replace("\n", "\\n");
 
         assertThat(readResults(mFirstFront, "st2"), containsString(text));
         assertThat(
-                mScene.endpoint().requestsRun().stream().anyMatch(run -> run.endsWith("@2")),
+                mDeployment.endpoint().requestsRun().stream().anyMatch(run -> run.endsWith("@2")),
                 is(true));
     }
 
     @Test
     void endedStepStaysReadableAndCanBeEndedAgain() {
-        send(mFirstFront, "POST", mScene.stepPath(), "st3", mScene.stepBody());
+        send(mFirstFront, "POST", mDeployment.stepPath(), "st3", mDeployment.stepBody());
         readResults(mFirstFront, "st3");
 
         assertThat(
-                send(mSecondFront, "DELETE", mScene.stepEndPath("st3"), "", "").status(), is(200));
+                send(mSecondFront, "DELETE", mDeployment.stepEndPath("st3"), "", "").status(),
+                is(200));
         assertThat(
-                send(mFirstFront, "DELETE", mScene.stepEndPath("st3"), "", "").status(), is(200));
+                send(mFirstFront, "DELETE", mDeployment.stepEndPath("st3"), "", "").status(),
+                is(200));
         assertThat(readResults(mSecondFront, "st3"), containsString("sample-2"));
     }
 
     @Test
     void laterStepResumesTheTextsOfAnEndedStep() {
-        mScene.endpoint().breakAllAfterEvent(2);
-        send(mFirstFront, "POST", mScene.stepPath(), "st8", mScene.stepBody(1));
+        mDeployment.endpoint().breakAllAfterEvent(2);
+        send(mFirstFront, "POST", mDeployment.stepPath(), "st8", mDeployment.stepBody(1));
         awaitTrue(
                 () ->
-                        mScene.endpoint()
+                        mDeployment
+                                .endpoint()
                                 .requestsRun()
                                 .containsAll(List.of("sample-1@2", "sample-2@2")));
-        send(mSecondFront, "DELETE", mScene.stepEndPath("st8"), "", "");
+        send(mSecondFront, "DELETE", mDeployment.stepEndPath("st8"), "", "");
         String texts = StoreKeys.checkpointKey(StepId.of("st8"));
-        awaitTrue(() -> mScene.platform().store().get(texts) != null);
-        mScene.endpoint().breakAllAfterEvent(0);
-        send(mSecondFront, "POST", mScene.stepPath(), "st9", mScene.stepBody(2));
+        awaitTrue(() -> mDeployment.platform().store().get(texts) != null);
+        mDeployment.endpoint().breakAllAfterEvent(0);
+        send(mSecondFront, "POST", mDeployment.stepPath(), "st9", mDeployment.stepBody(2));
         String text =
-                StandinEndpoint.completeText("sample-2", mScene.eventsPerSample())
+                StandinEndpoint.completeText("sample-2", mDeployment.eventsPerSample())
                         .replace("\n", "\\n");
 
         assertThat(readResults(mFirstFront, "st9"), containsString("\"text\":\"" + text + "\""));
-        List<String> seen = mScene.endpoint().requestsRun();
+        List<String> seen = mDeployment.endpoint().requestsRun();
         assertThat(seen.stream().filter(run -> run.matches("sample.*@0")).count(), is(2L));
     }
 
     @Test
     void laterStepStartsOverWithoutCarriedTexts() throws IOException {
         restartWithout(Mechanism.CARRIED_TEXTS);
-        mScene.endpoint().breakAllAfterEvent(2);
-        send(mFirstFront, "POST", mScene.stepPath(), "st12", mScene.stepBody(1));
+        mDeployment.endpoint().breakAllAfterEvent(2);
+        send(mFirstFront, "POST", mDeployment.stepPath(), "st12", mDeployment.stepBody(1));
         awaitTrue(
                 () ->
-                        mScene.endpoint()
+                        mDeployment
+                                .endpoint()
                                 .requestsRun()
                                 .containsAll(List.of("sample-1@2", "sample-2@2")));
-        send(mSecondFront, "DELETE", mScene.stepEndPath("st12"), "", "");
-        mScene.endpoint().breakAllAfterEvent(0);
-        send(mSecondFront, "POST", mScene.stepPath(), "st13", mScene.stepBody(2));
+        send(mSecondFront, "DELETE", mDeployment.stepEndPath("st12"), "", "");
+        mDeployment.endpoint().breakAllAfterEvent(0);
+        send(mSecondFront, "POST", mDeployment.stepPath(), "st13", mDeployment.stepBody(2));
 
         assertThat(readResults(mFirstFront, "st13"), containsString("sample-2"));
-        List<String> seen = mScene.endpoint().requestsRun();
+        List<String> seen = mDeployment.endpoint().requestsRun();
         assertThat(seen.stream().filter(run -> run.matches("sample.*@0")).count(), is(4L));
         String texts = StoreKeys.checkpointKey(StepId.of("st12"));
-        assertThat(mScene.platform().store().get(texts), is(nullValue()));
+        assertThat(mDeployment.platform().store().get(texts), is(nullValue()));
     }
 
     @Test
     void unreadableTextsOfAnEndedStepAreIgnored() {
-        mScene.endpoint().breakAllAfterEvent(2);
-        send(mFirstFront, "POST", mScene.stepPath(), "st10", mScene.stepBody(1));
-        awaitTrue(() -> mScene.endpoint().requestsRun().contains("sample-1@2"));
-        send(mSecondFront, "DELETE", mScene.stepEndPath("st10"), "", "");
+        mDeployment.endpoint().breakAllAfterEvent(2);
+        send(mFirstFront, "POST", mDeployment.stepPath(), "st10", mDeployment.stepBody(1));
+        awaitTrue(() -> mDeployment.endpoint().requestsRun().contains("sample-1@2"));
+        send(mSecondFront, "DELETE", mDeployment.stepEndPath("st10"), "", "");
         String texts = StoreKeys.checkpointKey(StepId.of("st10"));
-        awaitTrue(() -> mScene.platform().store().get(texts) != null);
+        awaitTrue(() -> mDeployment.platform().store().get(texts) != null);
         String invalid = "{\"texts\":[{\"id\":\"sample-1\",\"events\":[\"x\"],\"versions\":[]}]}";
-        mScene.platform().put(texts, invalid);
-        mScene.endpoint().breakAllAfterEvent(0);
-        send(mSecondFront, "POST", mScene.stepPath(), "st11", mScene.stepBody(2));
+        mDeployment.platform().put(texts, invalid);
+        mDeployment.endpoint().breakAllAfterEvent(0);
+        send(mSecondFront, "POST", mDeployment.stepPath(), "st11", mDeployment.stepBody(2));
         String text =
-                StandinEndpoint.completeText("sample-1", mScene.eventsPerSample())
+                StandinEndpoint.completeText("sample-1", mDeployment.eventsPerSample())
                         .replace("\n", "\\n");
 
         assertThat(readResults(mFirstFront, "st11"), containsString("\"text\":\"" + text + "\""));
@@ -167,22 +174,22 @@
 
     @Test
     void stepIsFinishedByAnotherEntryAfterItsOwnerDrains() throws InterruptedException {
-        mScene.endpoint().rejectNext(1_000_000);
-        send(mFirstFront, "POST", mScene.stepPath(), "st4", mScene.stepBody());
+        mDeployment.endpoint().rejectNext(1_000_000);
+        send(mFirstFront, "POST", mDeployment.stepPath(), "st4", mDeployment.stepBody());
         mFirstEntry.drain();
-        mScene.endpoint().rejectNext(0);
+        mDeployment.endpoint().rejectNext(0);
 
         assertThat(readResults(mSecondFront, "st4"), containsString("sample-2"));
     }
 
     @Test
     void stepIsNotAbandonedWhileTheConfigurationIsMissing() throws IOException {
-        mScene.endpoint().rejectNext(Integer.MAX_VALUE);
-        send(mFirstFront, "POST", mScene.stepPath(), "step-8", mScene.stepBody());
+        mDeployment.endpoint().rejectNext(Integer.MAX_VALUE);
+        send(mFirstFront, "POST", mDeployment.stepPath(), "step-8", mDeployment.stepBody());
         mFirstEntry.close();
         mSecondEntry.close();
-        mScene.withdrawConfiguration();
-        mFirstFront = text(freeAddress());
+        mDeployment.withdrawConfiguration();
+        mFirstFront = formatAddress(freeAddress());
         mFirstEntry = startEntry("edge-1", mFirstFront);
         // Returns as soon as the entry has taken the step over from its VM's previous process.
         sendUntil(
@@ -191,8 +198,8 @@
                 "GET",
                 "/metrics",
                 "");
-        mScene.configure(1);
-        mScene.endpoint().rejectNext(0);
+        mDeployment.configure(1);
+        mDeployment.endpoint().rejectNext(0);
 
         String results = readResults(mFirstFront, "step-8");
         assertThat(results, containsString("\"state\":\"done\""));
@@ -201,7 +208,7 @@
 
     @Test
     void metricsShowCallsAndTheConfigurationVersion() {
-        send(mFirstFront, "POST", mScene.callPath(), "c1", mScene.callBody());
+        send(mFirstFront, "POST", mDeployment.callPath(), "c1", mDeployment.callBody());
         String text = send(mMetricsAddress, "GET", "/metrics", "", "").text();
 
         assertThat(text, containsString("ebonyrun_entry_calls_total{end=\"answered\"}"));
@@ -211,46 +218,54 @@
 
     @Test
     void newerConfigurationIsAppliedAndOlderOneIsIgnored() {
-        String movedRoute = mScene.config(3).replace("/call/", "/moved/");
-        mScene.platform().put("op/config", movedRoute);
+        String movedRoute = mDeployment.config(3).replace("/call/", "/moved/");
+        mDeployment.platform().put("op/config", movedRoute);
         sendUntil(
-                response -> response.status() == 404, mFirstFront, "POST", mScene.callPath(), "c");
-        mScene.platform().put("op/config", mScene.config(2));
-        mScene.platform().put("op/config", movedRoute.replace("\"version\":3", "\"version\":4"));
+                response -> response.status() == 404,
+                mFirstFront,
+                "POST",
+                mDeployment.callPath(),
+                "c");
+        mDeployment.platform().put("op/config", mDeployment.config(2));
+        mDeployment
+                .platform()
+                .put("op/config", movedRoute.replace("\"version\":3", "\"version\":4"));
         sendUntil(HttpResponse::isSuccess, mFirstFront, "POST", "/moved/1", "c");
 
-        assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "").status(), is(404));
+        assertThat(send(mFirstFront, "POST", mDeployment.callPath(), "c", "").status(), is(404));
     }
 
     @Test
     void stepsAreRefusedAndCallsServedDuringAStoreOutage() {
-        mScene.platform().setFailureStatus(call -> 503);
+        mDeployment.platform().setFailureStatus(call -> 503);
 
         assertThat(
-                send(mFirstFront, "POST", mScene.stepPath(), "st5", mScene.stepBody()).status(),
+                send(mFirstFront, "POST", mDeployment.stepPath(), "st5", mDeployment.stepBody())
+                        .status(),
                 is(503));
-        assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "x").status(), is(200));
-        mScene.platform().setFailureStatus(call -> 0);
+        assertThat(send(mFirstFront, "POST", mDeployment.callPath(), "c", "x").status(), is(200));
+        mDeployment.platform().setFailureStatus(call -> 0);
         assertThat(
                 sendUntil(
                                 response -> response.status() == 404,
                                 mSecondFront,
                                 "GET",
-                                mScene.resultsPath("st5", 0),
+                                mDeployment.resultsPath("st5", 0),
                                 "")
                         .status(),
                 is(404));
-        assertThat(mScene.endpoint().requestsRun(), not(hasItem("sample-1@0")));
+        assertThat(mDeployment.endpoint().requestsRun(), not(hasItem("sample-1@0")));
     }
 
     @Test
     void stepRunsThoughTheResponseToItsAcceptanceWasLost() {
         // The first step acquires the lease, so the next call to the store accepts the second step.
-        send(mFirstFront, "POST", mScene.stepPath(), "st6", mScene.stepBody());
+        send(mFirstFront, "POST", mDeployment.stepPath(), "st6", mDeployment.stepBody());
         readResults(mFirstFront, "st6");
-        mScene.platform().dropCommitResponses(1);
+        mDeployment.platform().dropCommitResponses(1);
         int status =
-                send(mFirstFront, "POST", mScene.stepPath(), "st7", mScene.stepBody()).status();
+                send(mFirstFront, "POST", mDeployment.stepPath(), "st7", mDeployment.stepBody())
+                        .status();
 
         assertThat(status, is(202));
         assertThat(readResults(mSecondFront, "st7"), containsString("sample-2"));
@@ -258,15 +273,15 @@
 
     @Test
     void namedVersionIsLoaded() {
-        mScene.platform().put("op/version/m", "{\"model\":\"m\",\"version\":3}");
+        mDeployment.platform().put("op/version/m", "{\"model\":\"m\",\"version\":3}");
         sendUntil(
-                response -> mScene.endpoint().version() == 3,
+                response -> mDeployment.endpoint().version() == 3,
                 mFirstFront,
                 "POST",
-                mScene.callPath(),
+                mDeployment.callPath(),
                 "c");
 
-        assertThat(mScene.endpoint().version(), is(3));
+        assertThat(mDeployment.endpoint().version(), is(3));
     }
 
     @ParameterizedTest
@@ -289,6 +304,6 @@
                             || new String(response, StandardCharsets.US_ASCII).equals(expected);
             assertThat(new String(response, StandardCharsets.US_ASCII), refusedOrClosed, is(true));
         }
-        assertThat(send(mFirstFront, "POST", mScene.callPath(), "c", "x").status(), is(200));
+        assertThat(send(mFirstFront, "POST", mDeployment.callPath(), "c", "x").status(), is(200));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
@@ -41,8 +41,8 @@
     // Above the header timeout of the configuration.
     static final int SOCKET_TIMEOUT_MILLIS = 10_000;
 
-    StandinDeployment mScene;
-    AsyncHttpClient mCaller;
+    StandinDeployment mDeployment;
+    AsyncHttpClient mHttpClient;
     String mFirstFront;
     String mSecondFront;
     String mMetricsAddress;
@@ -52,15 +52,15 @@
 
     @BeforeEach
     void start() throws IOException {
-        mScene = StandinDeployment.start(freeAddress(), freeAddress());
-        mCaller = AsyncHttpClient.start();
+        mDeployment = StandinDeployment.start(freeAddress(), freeAddress());
+        mHttpClient = AsyncHttpClient.start();
         startEntries();
     }
 
     private void startEntries() throws IOException {
-        mFirstFront = text(freeAddress());
-        mSecondFront = text(freeAddress());
-        mMetricsAddress = text(freeAddress());
+        mFirstFront = formatAddress(freeAddress());
+        mSecondFront = formatAddress(freeAddress());
+        mMetricsAddress = formatAddress(freeAddress());
         mFirstEntry = startEntry("edge-1", mFirstFront);
         mSecondEntry = startEntry("edge-2", mSecondFront);
         awaitReady(mFirstFront);
@@ -71,8 +71,8 @@
     void stop() throws IOException {
         mFirstEntry.close();
         mSecondEntry.close();
-        mCaller.close();
-        mScene.close();
+        mHttpClient.close();
+        mDeployment.close();
     }
 
     /** Restarts both entries with one mechanism switched off. */
@@ -88,11 +88,13 @@
                 HostedSettingsTest.COMPLETE_SETTINGS
                         .replace("edge-1", vm)
                         .replace("10.1.0.35:8144", front)
-                        .replace("10.1.0.35:8140", text(freeAddress()))
+                        .replace("10.1.0.35:8140", formatAddress(freeAddress()))
                         .replace(
                                 "10.1.0.35:9464",
-                                vm.equals("edge-1") ? mMetricsAddress : text(freeAddress()))
-                        .replace("10.200.1.7:8142", text(mScene.storeAddress()));
+                                vm.equals("edge-1")
+                                        ? mMetricsAddress
+                                        : formatAddress(freeAddress()))
+                        .replace("10.200.1.7:8142", formatAddress(mDeployment.storeAddress()));
         HostedSettings parsed = HostedSettings.parse("test", settings + mPolicy).settings();
         return HostedEntry.start(parsed, EventLog.start(OutputStream.nullOutputStream()));
     }
@@ -112,7 +114,7 @@
         throw new IOException("no port is free from " + FIRST_PORT + " on");
     }
 
-    static String text(InetSocketAddress address) {
+    static String formatAddress(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
@@ -121,7 +123,8 @@
         URI uri = URI.create("http://" + front + path);
         HttpRequest request =
                 HttpRequest.to(method, uri, StandinDeployment.headers(id), bytes, TIMEOUT_MILLIS);
-        return mCaller.request(request, "test")
+        return mHttpClient
+                .request(request, "test")
                 .join()
                 .fold(r -> r, f -> new HttpResponse(0, bytes));
     }
@@ -149,21 +152,21 @@
                 response -> condition.getAsBoolean(),
                 mFirstFront,
                 "POST",
-                mScene.callPath(),
+                mDeployment.callPath(),
                 "look");
         assertThat(condition.getAsBoolean(), is(true));
     }
 
     void awaitReady(String front) {
-        sendUntil(HttpResponse::isSuccess, front, "POST", mScene.callPath(), "warm");
+        sendUntil(HttpResponse::isSuccess, front, "POST", mDeployment.callPath(), "warm");
     }
 
     /** Reads all results of a step page by page, as a trainer does; returns one result per line. */
     String readResults(String front, String step) {
         StringBuilder pages = new StringBuilder();
         int next = 0;
-        for (int i = 0; i < MAX_TRIES && next < mScene.samplesPerStep(); i++) {
-            HttpResponse page = send(front, "GET", mScene.resultsPath(step, next), "", "");
+        for (int i = 0; i < MAX_TRIES && next < mDeployment.samplesPerStep(); i++) {
+            HttpResponse page = send(front, "GET", mDeployment.resultsPath(step, next), "", "");
             if (page.isSuccess()) {
                 JsonNode json = JsonTrees.read(page.body());
                 json.path("results").forEach(result -> pages.append(result).append('\n'));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
@@ -97,12 +97,12 @@
     private void injectBefore(Disturbance disturbance, Random random) {
         switch (disturbance) {
             case STORE_REFUSES_SOME ->
-                    mScene.platform().setFailureStatus(n -> n % 3 == 0 ? 503 : 0);
+                    mDeployment.platform().setFailureStatus(n -> n % 3 == 0 ? 503 : 0);
             case STORE_LOSES_COMMITS ->
-                    mScene.platform().dropCommitResponses(1 + random.nextInt(3));
-            case STORE_FORGETS_HISTORY -> mScene.platform().store().compact();
-            case ENDPOINT_REFUSES -> mScene.endpoint().rejectNext(1 + random.nextInt(5));
-            case STREAM_BREAKS -> mScene.endpoint().breakNextAfter(random.nextInt(3));
+                    mDeployment.platform().dropCommitResponses(1 + random.nextInt(3));
+            case STORE_FORGETS_HISTORY -> mDeployment.platform().store().compact();
+            case ENDPOINT_REFUSES -> mDeployment.endpoint().rejectNext(1 + random.nextInt(5));
+            case STREAM_BREAKS -> mDeployment.endpoint().breakNextAfter(random.nextInt(3));
             default -> {
                 // Injected while the step runs.
             }
@@ -111,11 +111,11 @@
 
     /** Submits a step to the entries in turn, as a trainer does, until one has accepted it. */
     private void submit(String step, int number, boolean firstEntryFirst) {
-        String body = mScene.stepBody(number);
+        String body = mDeployment.stepBody(number);
         int status = 0;
         for (int i = 0; i < MAX_TRIES && status != 202; i++) {
             String front = firstEntryFirst == (i % 2 == 0) ? mFirstFront : mSecondFront;
-            status = send(front, "POST", mScene.stepPath(), step, body).status();
+            status = send(front, "POST", mDeployment.stepPath(), step, body).status();
         }
         assertThat(step, status, is(202));
     }
@@ -124,7 +124,7 @@
     private void call() {
         String body = "call-" + ++mCalls;
         String front = mCalls % 2 == 0 ? mFirstFront : mSecondFront;
-        HttpResponse response = send(front, "POST", mScene.callPath(), body, body);
+        HttpResponse response = send(front, "POST", mDeployment.callPath(), body, body);
 
         assertThat(body, response.status(), is(200));
         assertThat(response.text(), is(body));
@@ -134,11 +134,16 @@
     private boolean injectDuring(Disturbance disturbance, String step) throws IOException {
         switch (disturbance) {
             case STORE_REFUSES_ALL -> {
-                mScene.platform().setFailureStatus(n -> 503);
+                mDeployment.platform().setFailureStatus(n -> 503);
                 call();
                 String other = "other-" + step;
                 int status =
-                        send(mFirstFront, "POST", mScene.stepPath(), other, mScene.stepBody(0))
+                        send(
+                                        mFirstFront,
+                                        "POST",
+                                        mDeployment.stepPath(),
+                                        other,
+                                        mDeployment.stepBody(0))
                                 .status();
                 assertThat(step, status, is(503));
             }
@@ -148,18 +153,18 @@
                         HttpResponse::isSuccess,
                         mSecondFront,
                         "DELETE",
-                        mScene.stepEndPath(step),
+                        mDeployment.stepEndPath(step),
                         "");
                 return true;
             }
             case VERSION_IS_NAMED -> {
                 mVersion++;
                 String named = "{\"model\":\"m\",\"version\":" + mVersion + "}";
-                mScene.platform().put("op/version/m", named);
+                mDeployment.platform().put("op/version/m", named);
             }
             case CONFIGURATIONS_FOLLOW -> {
                 for (int i = 0; i < 5; i++) {
-                    mScene.platform().put("op/config", mScene.config(++mConfig));
+                    mDeployment.platform().put("op/config", mDeployment.config(++mConfig));
                 }
             }
             default -> {
@@ -175,21 +180,21 @@
      */
     private void crashOwner(String step) throws IOException {
         String key = StoreKeys.liveKey(StepId.of(step), StoreKeys.OWNER);
-        StandinStore.Entry owner = mScene.platform().store().get(key);
+        StandinStore.Entry owner = mDeployment.platform().store().get(key);
         if (owner == null) {
             // The owner has crashed before, or the step is over.
             return;
         }
         String name = new String(Base64.getDecoder().decode(owner.value()), StandardCharsets.UTF_8);
-        String front = text(freeAddress());
+        String front = formatAddress(freeAddress());
         if (name.startsWith("edge-1/")) {
             mFirstEntry.close();
-            mScene.platform().remove(key);
+            mDeployment.platform().remove(key);
             mFirstFront = front;
             mFirstEntry = startEntry("edge-1", front);
         } else {
             mSecondEntry.close();
-            mScene.platform().remove(key);
+            mDeployment.platform().remove(key);
             mSecondFront = front;
             mSecondEntry = startEntry("edge-2", front);
         }
@@ -197,9 +202,9 @@
     }
 
     private void clearFaults() {
-        mScene.platform().setFailureStatus(n -> 0);
-        mScene.platform().dropCommitResponses(0);
-        mScene.endpoint().rejectNext(0);
+        mDeployment.platform().setFailureStatus(n -> 0);
+        mDeployment.platform().dropCommitResponses(0);
+        mDeployment.endpoint().rejectNext(0);
     }
 
     /**
@@ -212,7 +217,7 @@
         int next = -1;
         while (next != from) {
             from = Math.max(next, 0);
-            String path = mScene.resultsPath(step, from);
+            String path = mDeployment.resultsPath(step, from);
             HttpResponse page = sendUntil(HttpResponse::isSuccess, front, "GET", path, "");
             JsonNode json = JsonTrees.read(page.body());
             json.path("results").forEach(result -> results.append(result).append('\n'));
@@ -223,10 +228,10 @@
 
     /** Checks that each sample is listed once, or {@code atLeast} times, with its whole text. */
     private void checkSamples(String scenario, String listed, int atLeast) {
-        for (int i = 1; i <= mScene.samplesPerStep(); i++) {
+        for (int i = 1; i <= mDeployment.samplesPerStep(); i++) {
             String sample = "sample-" + i;
             String text =
-                    StandinEndpoint.completeText(sample, mScene.eventsPerSample())
+                    StandinEndpoint.completeText(sample, mDeployment.eventsPerSample())
                             .replace("\n", "\\n");
             int count = count(listed, "\"id\":\"" + sample + "\"");
             assertThat(scenario + ": " + listed, count, anyOf(is(atLeast), is(1)));
