--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Cursor.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Cursor.java
@@ -12,40 +12,44 @@
 import org.ebonyrun.base.result.Result;
 
 /**
- * The slots of one step that the trainer has. Opaque to trainers; each answer to a pull carries the
- * cursor that includes it, and the next pull brings it back as the acknowledgement.
+ * The set of slots of one step whose samples the trainer has received.
  *
- * <p>Immutable and thread safe. The text form carries a checksum, so a damaged cursor or one of
- * another step is recognised.
+ * <p>Cursors are opaque to trainers. Each reply to a pull contains a cursor that includes the
+ * samples of that reply; the trainer's next pull sends it back, which acknowledges them.
+ *
+ * <p>The text form contains a checksum over the trainer, the step and the slots, so a damaged
+ * cursor and a cursor of another step are rejected.
+ *
+ * <p>Immutable and thread safe.
  */
 public final class Cursor {
     private static final int HEADER_BYTES = Long.BYTES + Integer.BYTES;
 
     private final TrainerId mTrainer;
     private final long mStep;
-    private final int mTotal;
+    private final int mTotalSlots;
     private final BitSet mSlots;
 
     private Cursor(TrainerId trainer, long step, int total, BitSet slots) {
         mTrainer = trainer;
         mStep = step;
-        mTotal = total;
+        mTotalSlots = total;
         mSlots = slots;
     }
 
     /**
-     * Returns the cursor of a trainer that has nothing of the step.
+     * Returns the cursor of a trainer that has received no sample of the step.
      *
-     * @param total the number of slots of the step; zero while unknown
+     * @param total the number of slots of the step; zero if unknown
      */
     public static Cursor empty(TrainerId trainer, long step, int total) {
         return new Cursor(trainer, step, total, new BitSet());
     }
 
     /**
-     * Reads a cursor. Hostile input gives a fault, never an exception.
+     * Decodes the text form of a cursor. Malformed input results in a fault, never an exception.
      *
-     * @param text the text form; empty for a trainer that has nothing
+     * @param text the text form; empty for a trainer that has received no sample
      */
     public static Result<Cursor> decode(String text, TrainerId trainer, long step) {
         if (text.isEmpty()) {
@@ -55,74 +59,76 @@
         try {
             bytes = Base64.getUrlDecoder().decode(text);
         } catch (IllegalArgumentException e) {
-            return foreign("the cursor is not in base64");
+            return invalid("the cursor is not valid base64");
         }
         if (bytes.length < HEADER_BYTES) {
-            return foreign("the cursor is too short");
+            return invalid("the cursor is too short");
         }
         ByteBuffer header = ByteBuffer.wrap(bytes);
-        long hash = header.getLong();
+        long checksum = header.getLong();
         int total = header.getInt();
-        byte[] bits = Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length);
-        BitSet set = BitSet.valueOf(bits);
-        if (hash != hash(trainer, step, total, bits) || set.length() > total) {
-            return foreign("the cursor is damaged or belongs to another step");
+        byte[] slotBytes = Arrays.copyOfRange(bytes, HEADER_BYTES, bytes.length);
+        BitSet slots = BitSet.valueOf(slotBytes);
+        if (checksum != checksum(trainer, step, total, slotBytes) || slots.length() > total) {
+            return invalid("the cursor is damaged or belongs to another step");
         }
-        return Result.ok(new Cursor(trainer, step, total, set));
+        return Result.ok(new Cursor(trainer, step, total, slots));
     }
 
     /** Returns the text form. */
     public String encode() {
-        byte[] bits = mSlots.toByteArray();
-        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + bits.length);
-        buffer.putLong(hash(mTrainer, mStep, mTotal, bits)).putInt(mTotal).put(bits);
+        byte[] slotBytes = mSlots.toByteArray();
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + slotBytes.length);
+        buffer.putLong(checksum(mTrainer, mStep, mTotalSlots, slotBytes))
+                .putInt(mTotalSlots)
+                .put(slotBytes);
         return Base64.getUrlEncoder().withoutPadding().encodeToString(buffer.array());
     }
 
-    /** Returns whether the trainer has every slot of the step. */
+    /** Returns whether the trainer has received every slot of the step. */
     public boolean isComplete() {
-        return mTotal > 0 && mSlots.cardinality() == mTotal;
+        return mTotalSlots > 0 && mSlots.cardinality() == mTotalSlots;
     }
 
-    /** Returns the number of slots of the step; zero while unknown. */
+    /** Returns the number of slots of the step; zero if unknown. */
     public int totalSlots() {
-        return mTotal;
+        return mTotalSlots;
     }
 
-    /** Returns whether the trainer has a slot. */
+    /** Returns whether the trainer has received the slot. */
     public boolean hasSlot(int slot) {
         return mSlots.get(slot);
     }
 
-    /** Returns how many slots the trainer has. */
+    /** Returns the number of slots that the trainer has received. */
     public int slotCount() {
         return mSlots.cardinality();
     }
 
-    /** Returns a copy of the slots that the trainer has. */
+    /** Returns a copy of the set of slots that the trainer has received. */
     public BitSet slots() {
         return (BitSet) mSlots.clone();
     }
 
-    /** Returns a cursor that also has the given slots. */
+    /** Returns a cursor that also includes the given slots. */
     public Cursor withSlots(BitSet more) {
         BitSet union = slots();
         union.or(more);
-        return new Cursor(mTrainer, mStep, mTotal, union);
+        return new Cursor(mTrainer, mStep, mTotalSlots, union);
     }
 
-    private static long hash(TrainerId trainer, long step, int total, byte[] bits) {
+    private static long checksum(TrainerId trainer, long step, int total, byte[] slotBytes) {
         return Hashing.murmur3_128()
                 .newHasher()
                 .putString(trainer.value(), StandardCharsets.UTF_8)
                 .putLong(step)
                 .putInt(total)
-                .putBytes(bits)
+                .putBytes(slotBytes)
                 .hash()
                 .asLong();
     }
 
-    private static Result<Cursor> foreign(String detail) {
+    private static Result<Cursor> invalid(String detail) {
         return Result.err(Fault.notRun(FaultCode.BAD_REQUEST, "step.cursor", "", detail));
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/PullHandler.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/PullHandler.java
@@ -14,21 +14,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Answers the pulls of one step: selects finished slots, fetches their content from the agents, and
- * hands it over.
+ * Handles the pulls of one step: selects finished slots, fetches their content from the agents and
+ * delivers it in the reply.
  *
- * <p>Invariants: one pull is open at a time; a slot that the pull's cursor has is never handed out.
+ * <p>Invariants: at most one pull is pending at a time; a slot that the pull's cursor includes is
+ * never delivered.
  *
- * <p>Not thread safe; confined to the rollout duty.
+ * <p>Not thread safe; confined to the rollout event loop.
  */
 final class PullHandler {
-    private static final long FETCH_NANOS = Nanos.ofMillis(3_000);
-    private static final int MAX_ANSWER_BYTES = 4 << 20;
-    private static final long RETRY_MILLIS = 200;
+    private static final long FETCH_TIMEOUT_NANOS = Nanos.ofMillis(3_000);
+    // A reply exceeds this only if its first sample alone does.
+    private static final int MAX_REPLY_BYTES = 4 << 20;
+    private static final long RETRY_AFTER_MILLIS = 200;
 
     private final Step mStep;
     private final RolloutOutputs mOutputs;
-    private @Nullable PendingPull mPull;
+    private @Nullable PendingPull mPendingPull;
 
     PullHandler(Step step, RolloutOutputs outputs) {
         mStep = step;
@@ -36,44 +38,45 @@
     }
 
     boolean hasPendingPull() {
-        return mPull != null;
+        return mPendingPull != null;
     }
 
     void start(PendingPull pull, long now) {
-        mPull = pull;
+        mPendingPull = pull;
         fetchReadySamples(now);
     }
 
-    /** Forgets a pull that nobody waits for any more. */
+    /** Drops the pending pull, without a reply, if it belongs to the given request. */
     void cancel(long requestId) {
-        if (mPull != null && mPull.mRequestId == requestId) {
-            mPull = null;
+        if (mPendingPull != null && mPendingPull.mRequestId == requestId) {
+            mPendingPull = null;
         }
     }
 
-    /** Refuses the open pull, if there is one. */
+    /** Replies to the pending pull, if there is one, with a fault. */
     void refusePending(FaultCode code, String detail) {
-        if (mPull != null) {
-            refuse(mOutputs, mPull, code, detail);
-            mPull = null;
+        if (mPendingPull != null) {
+            refuse(mOutputs, mPendingPull, code, detail);
+            mPendingPull = null;
         }
     }
 
-    /** Refuses a pull, of which nothing was handed over. */
+    /** Replies with a fault to a pull for which no sample was delivered. */
     static void refuse(RolloutOutputs outputs, PendingPull pull, FaultCode code, String detail) {
         Fault fault =
-                Fault.notRun(code, "step.pull", "", detail).withRetryAfterMillis(RETRY_MILLIS);
+                Fault.notRun(code, "step.pull", "", detail)
+                        .withRetryAfterMillis(RETRY_AFTER_MILLIS);
         outputs.reply(pull.mRequestId, StepReply.failed(fault));
     }
 
     void onTick(long now) {
-        PendingPull pull = mPull;
+        PendingPull pull = mPendingPull;
         if (pull == null) {
             return;
         }
         if (!pull.mPendingFetches.isEmpty() && now - pull.mFetchDeadline >= 0) {
             pull.mPendingFetches.clear();
-            finish(pull, now);
+            onFetchesEnded(pull, now);
         } else if (pull.mPendingFetches.isEmpty() && now - pull.mDeadline >= 0) {
             answer(pull, now);
         } else {
@@ -81,9 +84,9 @@
         }
     }
 
-    /** Fetches the content of what can be handed out, unless a fetch is under way. */
+    /** Fetches the content of ready samples for the pending pull, unless a fetch is in progress. */
     void fetchReadySamples(long now) {
-        PendingPull pull = mPull;
+        PendingPull pull = mPendingPull;
         if (pull == null || !pull.mPendingFetches.isEmpty()) {
             return;
         }
@@ -97,28 +100,32 @@
                 pull.mPendingFetches.set(slot.mIndex);
             }
         }
-        pull.mFetchDeadline = now + FETCH_NANOS;
+        pull.mFetchDeadline = now + FETCH_TIMEOUT_NANOS;
     }
 
-    /** Selects finished slots, those of whole groups first, within the answer's limits. */
+    /**
+     * Selects ready slots for a reply, within its limits on samples and bytes. Slots of groups with
+     * the fewest unfinished samples come first.
+     */
     private List<Slot> selectReady(PendingPull pull) {
-        Map<Integer, Integer> unfinished = new HashMap<>();
+        Map<Integer, Integer> unfinishedByGroup = new HashMap<>();
         List<Slot> ready = new ArrayList<>();
         for (Slot slot : mStep.slots()) {
             if (slot.mPhase == Slot.Phase.READY && !pull.mCursor.hasSlot(slot.mIndex)) {
                 ready.add(slot);
             } else if (slot.mPhase != Slot.Phase.DELIVERED) {
-                unfinished.merge(slot.mGroup, 1, Integer::sum);
+                unfinishedByGroup.merge(slot.mGroup, 1, Integer::sum);
             }
         }
         ready.sort(
-                Comparator.comparingInt((Slot slot) -> unfinished.getOrDefault(slot.mGroup, 0))
+                Comparator.comparingInt(
+                                (Slot slot) -> unfinishedByGroup.getOrDefault(slot.mGroup, 0))
                         .thenComparingInt(slot -> slot.mIndex));
         List<Slot> selected = new ArrayList<>();
         long bytes = 0;
         for (Slot slot : ready) {
             bytes += slot.mInfo == null ? 0 : slot.mInfo.bytes();
-            boolean full = selected.size() >= pull.mMaxSamples || bytes > MAX_ANSWER_BYTES;
+            boolean full = selected.size() >= pull.mMaxSamples || bytes > MAX_REPLY_BYTES;
             if (full && !selected.isEmpty()) {
                 break;
             }
@@ -127,9 +134,9 @@
         return selected;
     }
 
-    /** Handles content that was fetched; its age is checked once more, at the hand-over. */
+    /** Handles fetched content. Its age is checked once more, because this is its delivery. */
     void onSampleContent(Slot slot, byte[] content, SampleInfo info, long now) {
-        PendingPull pull = mPull;
+        PendingPull pull = mPendingPull;
         if (pull == null || !pull.mPendingFetches.get(slot.mIndex)) {
             return;
         }
@@ -147,22 +154,22 @@
                             slot.mScore));
         }
         if (pull.mPendingFetches.isEmpty()) {
-            finish(pull, now);
+            onFetchesEnded(pull, now);
         }
     }
 
-    /** Takes note that a slot's content can't be had. */
+    /** Handles a fetch that failed because the agent no longer has the content or was lost. */
     void onContentUnavailable(int index, long now) {
-        PendingPull pull = mPull;
+        PendingPull pull = mPendingPull;
         if (pull != null && pull.mPendingFetches.get(index)) {
             pull.mPendingFetches.clear(index);
             if (pull.mPendingFetches.isEmpty()) {
-                finish(pull, now);
+                onFetchesEnded(pull, now);
             }
         }
     }
 
-    private void finish(PendingPull pull, long now) {
+    private void onFetchesEnded(PendingPull pull, long now) {
         if (pull.mSamples.isEmpty()) {
             fetchReadySamples(now);
         } else {
@@ -171,7 +178,7 @@
     }
 
     private void answer(PendingPull pull, long now) {
-        mPull = null;
+        mPendingPull = null;
         Cursor next = pull.nextCursor();
         int remaining = mStep.slots().size() - next.slotCount();
         mOutputs.recordTrainerIdleTime(mStep.manifest().trainer(), now - pull.mOpenedAt);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutMachine.java
@@ -21,41 +21,42 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Owns trainers' steps, or passes requests on to the entry that does.
+ * State machine of trainers' steps in an entry: runs the steps of trainers whose lease this process
+ * holds, and forwards requests about other trainers' steps to the entry that owns them.
  *
- * <p>Every request gets exactly one reply, unless it was cancelled or passed on.
+ * <p>Invariant: every request gets exactly one reply, unless it is cancelled or forwarded.
  *
- * <p>Not thread safe; confined to the rollout duty.
+ * <p>Not thread safe; confined to the rollout event loop.
  */
 public final class RolloutMachine implements Ticking, LeaseListener {
     private final LeaseHolder mSelf;
-    private final CompletionRequestEncoder mBodies;
-    private final StragglerPolicy mStragglers;
+    private final CompletionRequestEncoder mRequestEncoder;
+    private final StragglerPolicy mStragglerPolicy;
     private final RolloutOutputs mOutputs;
     private final Map<TrainerId, TrainerSteps> mTrainers = new HashMap<>();
     private OperatorConfig mConfig = OperatorConfig.empty();
 
     private RolloutMachine(
             LeaseHolder self,
-            CompletionRequestEncoder bodies,
-            StragglerPolicy stragglers,
+            CompletionRequestEncoder requestEncoder,
+            StragglerPolicy stragglerPolicy,
             RolloutOutputs outputs) {
         mSelf = self;
-        mBodies = bodies;
-        mStragglers = stragglers;
+        mRequestEncoder = requestEncoder;
+        mStragglerPolicy = stragglerPolicy;
         mOutputs = outputs;
     }
 
-    /** Creates a machine that owns no step. */
+    /** Creates a state machine that owns no step. */
     public static RolloutMachine create(
             LeaseHolder self,
-            CompletionRequestEncoder bodies,
-            StragglerPolicy stragglers,
+            CompletionRequestEncoder requestEncoder,
+            StragglerPolicy stragglerPolicy,
             RolloutOutputs outputs) {
-        return new RolloutMachine(self, bodies, stragglers, outputs);
+        return new RolloutMachine(self, requestEncoder, stragglerPolicy, outputs);
     }
 
-    /** Adopts a configuration. */
+    /** Applies a new configuration. */
     public void onConfig(OperatorConfig config) {
         mConfig = config;
         mTrainers.values().forEach(trainer -> trainer.onConfig(config));
@@ -64,35 +65,35 @@
     /**
      * Handles a trainer's request.
      *
-     * @param forwarded whether another entry passed it on; it is then not passed on again
+     * @param forwarded whether another entry forwarded it; it is then not forwarded again
      */
     public void onRequest(long requestId, StepRequest request, boolean forwarded, long now) {
         trainer(request.trainer()).onRequest(requestId, request, forwarded, mConfig, now);
     }
 
-    /** Forgets a request that nobody waits for any more. */
+    /** Drops a request whose reply is no longer needed. */
     public void cancelRequest(long requestId) {
         mTrainers.values().forEach(trainer -> trainer.cancelRequest(requestId));
     }
 
-    /** Takes note that the owner to which a request was passed on can't be reached. */
+    /** Handles the failure to reach the owner to which a request was forwarded. */
     public void onOwnerUnreachable(TrainerId id, long now) {
         trainer(id).lease().forgetOtherHolder(now);
     }
 
     @Override
-    public void onLeaseRecord(String key, LeaseRecord reading, long now) {
-        byKey(key, trainer -> trainer.onLeaseRecord(reading, mConfig, now));
+    public void onLeaseRecord(String key, LeaseRecord leaseRecord, long now) {
+        forLeaseKey(key, trainer -> trainer.onLeaseRecord(leaseRecord, mConfig, now));
     }
 
     @Override
     public void onLeaseUnavailable(String key, long now) {
-        byKey(key, trainer -> trainer.onLeaseUnavailable(mConfig, now));
+        forLeaseKey(key, trainer -> trainer.onLeaseUnavailable(mConfig, now));
     }
 
     @Override
     public void onLeaseRenewed(String key, boolean granted, long now) {
-        byKey(
+        forLeaseKey(
                 key,
                 trainer -> {
                     if (granted) {
@@ -108,7 +109,11 @@
         trainer(manifest.trainer()).onManifestStored(manifest, fault, mConfig, now);
     }
 
-    /** Handles the outcome of loading a manifest; null without a fault means that there is none. */
+    /**
+     * Handles the outcome of loading a manifest.
+     *
+     * @param manifest the manifest; null if the step has none or loading it failed
+     */
     public void onManifestLoaded(
             TrainerId trainer,
             long step,
@@ -118,46 +123,50 @@
         trainer(trainer).onManifestLoaded(step, manifest, fault, mConfig, now);
     }
 
-    /** Handles a sample that finished at an agent. */
+    /** Handles a finished sample that an agent holds. */
     public void onSampleFinished(VmId vm, SampleKey key, SampleInfo info, long now) {
-        Step step = step(key.trainer(), key.step());
+        Step step = findStep(key.trainer(), key.step());
         if (step != null) {
             step.onSampleFinished(vm, key, info, now);
         }
     }
 
-    /** Handles a sample that the dispatch duty gave up. */
+    /** Handles a sample whose work the dispatcher abandoned. */
     public void onSampleFailed(SampleKey key, long now) {
-        Step step = step(key.trainer(), key.step());
+        Step step = findStep(key.trainer(), key.step());
         if (step != null) {
             step.onSampleFailed(key, now);
         }
     }
 
-    /** Handles a score; null when the scoring service gave none. */
+    /**
+     * Handles the outcome of scoring a sample.
+     *
+     * @param score the score; null if scoring failed
+     */
     public void onScored(SampleKey key, @Nullable String score, long now) {
-        Step step = step(key.trainer(), key.step());
+        Step step = findStep(key.trainer(), key.step());
         if (step != null) {
             step.onScored(key, score, now);
         }
     }
 
-    /** Handles a message of an agent about held samples. */
+    /** Handles an agent's message about the samples that it holds. */
     public void onMessage(VmId vm, AttemptMessage message, long now) {
         if (message instanceof AttemptMessage.SampleContent content) {
-            Step step = step(content.key().trainer(), content.key().step());
+            Step step = findStep(content.key().trainer(), content.key().step());
             if (step != null) {
                 step.onSampleContent(vm, content, now);
             }
         } else if (message instanceof AttemptMessage.HeldSamples held) {
-            Step step = step(held.trainer(), held.step());
+            Step step = findStep(held.trainer(), held.step());
             if (step != null) {
                 step.onHeldSamples(vm, held, now);
             }
         }
     }
 
-    /** Takes note that an agent of a service is connected. */
+    /** Handles a new link to an agent of a service. */
     public void onAgentConnected(VmId vm, ServiceName service) {
         forEachStep(
                 step -> {
@@ -167,7 +176,7 @@
                 });
     }
 
-    /** Takes note that the link to an agent is lost. */
+    /** Handles the loss of the link to an agent. */
     public void onAgentLost(VmId vm, long now) {
         forEachStep(step -> step.onAgentLost(vm, now));
     }
@@ -178,9 +187,10 @@
     }
 
     /**
-     * Lets go of every step, so that other entries can take them over.
+     * Drops every step without cancelling its attempts, so that other entries can take the steps
+     * over.
      *
-     * @return the fence of each lease that was held, by its key
+     * @return the fences of the leases that are held, by lease key
      */
     public Map<String, Long> handOver(long now) {
         Map<String, Long> leases = new HashMap<>();
@@ -193,7 +203,7 @@
         return leases;
     }
 
-    /** Returns the steps that this process owns. */
+    /** Returns the state of each step that this process owns. */
     public List<StepDump> dump(long now) {
         List<StepDump> steps = new ArrayList<>();
         forEachStep(step -> steps.add(step.dump(now)));
@@ -208,10 +218,11 @@
 
     private TrainerSteps trainer(TrainerId id) {
         return mTrainers.computeIfAbsent(
-                id, key -> new TrainerSteps(key, mSelf, mBodies, mStragglers, mOutputs));
+                id,
+                key -> new TrainerSteps(key, mSelf, mRequestEncoder, mStragglerPolicy, mOutputs));
     }
 
-    private @Nullable Step step(TrainerId trainer, long step) {
+    private @Nullable Step findStep(TrainerId trainer, long step) {
         TrainerSteps steps = mTrainers.get(trainer);
         if (steps == null) {
             return null;
@@ -222,7 +233,7 @@
                 .orElse(null);
     }
 
-    private void byKey(String key, Consumer<TrainerSteps> action) {
+    private void forLeaseKey(String key, Consumer<TrainerSteps> action) {
         for (TrainerSteps trainer : mTrainers.values()) {
             if (trainer.lease().key().equals(key)) {
                 action.accept(trainer);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/RolloutOutputs.java
@@ -10,7 +10,10 @@
 import org.ebonyrun.core.lease.LeaseOutputs;
 import org.ebonyrun.core.routing.Work;
 
-/** What the rollout duty does to the world. Called on the duty's thread; must not block. */
+/**
+ * Performs the actions that {@link RolloutMachine} decides on. Called on the rollout event loop;
+ * must not block.
+ */
 public interface RolloutOutputs extends LeaseOutputs {
     /** Stores a manifest; the outcome comes back as an event. */
     void storeManifest(StepManifest manifest);
@@ -18,46 +21,46 @@
     /** Loads a manifest; the outcome comes back as an event. */
     void loadManifest(TrainerId trainer, long step);
 
-    /** Deletes a manifest that is needed no more. */
+    /** Deletes the manifest of a finished or cancelled step. */
     void deleteManifest(TrainerId trainer, long step, int slots);
 
-    /** Hands a sample to the dispatch duty. */
+    /** Submits a sample's work to the dispatcher. */
     void submit(Work work);
 
-    /** Takes a sample back from the dispatch duty, and stops its attempt. */
+    /** Withdraws work from the dispatcher and cancels its attempt. */
     void cancel(long workId);
 
-    /** Takes a sample back from the dispatch duty, and lets its attempt go on. */
+    /** Withdraws work from the dispatcher without cancelling its attempt. */
     void detach(long workId);
 
-    /** Tells the dispatch duty the oldest version that is fresh enough for a trainer. */
+    /** Sets the oldest weight version that the dispatcher may use for a trainer's samples. */
     void setMinVersion(TrainerId trainer, long version);
 
-    /** Sends a message to one agent. Returns false if it could not be sent. */
+    /** Sends a message to an agent. Returns false if it could not be sent. */
     boolean send(VmId vm, AttemptMessage message);
 
     /** Sends a message to every connected agent of a service. */
     void broadcast(ServiceName service, AttemptMessage message);
 
-    /** Has a sample scored; the score comes back as an event. */
+    /** Sends a sample to the scoring service; the score comes back as an event. */
     void startScoring(ServiceName scorer, SampleKey key, byte[] content);
 
-    /** Passes a request on to another owner. */
+    /** Forwards a request to the entry that owns the step. */
     void forward(LeaseHolder owner, long requestId, StepRequest request);
 
-    /** Answers a request. */
+    /** Replies to a request. */
     void reply(long requestId, StepReply reply);
 
-    /** Tells how long a trainer waited for a sample, in nanoseconds. */
+    /** Records how long a trainer waited for samples, in nanoseconds. */
     void recordTrainerIdleTime(TrainerId trainer, long nanos);
 
-    /** Tells the age of a delivered sample, in versions. */
+    /** Records the age of a delivered sample, in weight versions. */
     void recordDeliveredSample(TrainerId trainer, long age);
 
-    /** Returns a new number for a piece of work, unique in the process. */
+    /** Returns a work ID that is unique within the process. */
     long nextWorkId();
 
-    /** Releases samples at an agent. */
+    /** Tells an agent to discard samples that it holds. */
     default void releaseSamples(VmId vm, List<SampleKey> keys) {
         send(vm, new AttemptMessage.ReleaseSamples(keys));
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Sample.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Sample.java
@@ -5,14 +5,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A sample as a trainer gets it.
+ * A finished sample as it is delivered to a trainer.
  *
  * @param slot the slot that it fills
- * @param group the index of its prompt
+ * @param group the index of its prompt group
  * @param text the generated text
  * @param tokens the number of generated tokens
  * @param versions the weight versions that produced it
- * @param score what the scoring service said; null without one
+ * @param score the scoring service's response; null if the class of work has no scorer
  */
 public record Sample(
         @JsonProperty("slot") int slot,
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Slot.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Slot.java
@@ -4,21 +4,27 @@
 import org.ebonyrun.core.attempt.SampleInfo;
 import org.jspecify.annotations.Nullable;
 
-/** One slot of a step at its owner. Not thread safe; confined to the rollout duty. */
+/**
+ * The state that a step's owner keeps of one slot. Not thread safe; confined to the rollout event
+ * loop.
+ */
 final class Slot {
-    /** Where a slot stands. */
+    /** The phases of a slot. */
     enum Phase {
-        /** Nothing of it is known. */
+        /** No attempt runs and no sample is held. */
         PENDING,
-        /** The dispatch duty has it. */
+        /** Its work was submitted to the dispatcher. */
         SUBMITTED,
-        /** An agent has reported that it still runs, from before this process owned the step. */
+        /**
+         * An agent may run it or hold its sample: the step was taken over from another owner and
+         * the agents have not reported all of it, or the agent's link was lost.
+         */
         ADOPTED,
-        /** Finished, and waiting for its score. */
+        /** An agent holds its finished sample, which has no score yet. */
         SCORING,
-        /** Finished and held by an agent. */
+        /** An agent holds its finished sample, which is ready for delivery. */
         READY,
-        /** The trainer has it. */
+        /** The trainer has acknowledged its sample. */
         DELIVERED
     }
 
@@ -26,11 +32,14 @@
     final int mGroup;
     Phase mPhase = Phase.PENDING;
     long mWorkId;
+    // The hedged attempt's work; zero if there is none.
     long mHedgeWorkId;
     long mSubmittedAt;
+    // The VM whose agent holds the sample or runs the adopted attempt.
     @Nullable VmId mVm;
     @Nullable SampleInfo mInfo;
     @Nullable String mScore;
+    // When to run the slot again, or to fetch its content again for scoring.
     long mRetryAt;
 
     Slot(int index, int group) {
@@ -38,7 +47,7 @@
         mGroup = group;
     }
 
-    /** Forgets a finished sample, so that the slot runs again. */
+    /** Discards the slot's attempt or sample, so that the slot can run again. */
     void reset() {
         mPhase = Phase.PENDING;
         mHedgeWorkId = 0;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Step.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Step.java
@@ -18,58 +18,61 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One step at its owner: runs every slot until the trainer has it.
+ * One step at its owner: runs every slot until the trainer has acknowledged its sample.
  *
- * <p>Invariants: a slot is handed out only if the pull's cursor lacks it; the age of a sample is
- * checked at the hand-over, against the version that the pull states; samples are released at their
- * agents only after a cursor that includes them has come back.
+ * <p>Invariants: a slot is delivered only if the pull's cursor does not include it; the age of a
+ * sample is checked at delivery, against the weight version in the pull; a delivered sample is
+ * released at its agent only after the trainer has sent a cursor that includes it.
  *
- * <p>Not thread safe; confined to the rollout duty.
+ * <p>Not thread safe; confined to the rollout event loop.
  */
 final class Step {
-    private static final long GIVE_UP_NANOS = Nanos.ofMillis(600_000);
-    private static final long FORGOTTEN_NANOS = Nanos.ofMillis(1_800_000);
-    private static final long ADOPTION_NANOS = Nanos.ofMillis(3_000);
-    private static final long FETCH_NANOS = Nanos.ofMillis(3_000);
-    private static final long RETRY_NANOS = Nanos.ofMillis(500);
+    // Time limit of one attempt to generate a sample.
+    private static final long SAMPLE_TIMEOUT_NANOS = Nanos.ofMillis(600_000);
+    // A step that gets no pull for this time is unloaded.
+    private static final long IDLE_TIMEOUT_NANOS = Nanos.ofMillis(1_800_000);
+    // How long a disconnected agent may take to reconnect before its slots run again.
+    private static final long RECONNECT_TIMEOUT_NANOS = Nanos.ofMillis(3_000);
+    private static final long FETCH_TIMEOUT_NANOS = Nanos.ofMillis(3_000);
+    private static final long RETRY_DELAY_NANOS = Nanos.ofMillis(500);
     private static final double MEDIAN = 0.5;
-    private static final String COMPLETIONS = "/v1/completions";
-    private static final String JSON = "application/json";
+    private static final String COMPLETIONS_PATH = "/v1/completions";
+    private static final String JSON_CONTENT_TYPE = "application/json";
 
     private final StepManifest mManifest;
-    private final CompletionRequestEncoder mBodies;
-    private final StragglerPolicy mStragglers;
-    private final RotatingHistogram mDurations = RotatingHistogram.create(256);
+    private final CompletionRequestEncoder mRequestEncoder;
+    private final StragglerPolicy mStragglerPolicy;
+    private final RotatingHistogram mDurationsMillis = RotatingHistogram.create(256);
     private final RolloutOutputs mOutputs;
     private final long mFence;
     private final long mStartedAt;
     private final List<Slot> mSlots = new ArrayList<>();
-    private ClassSpec mSpec;
-    private long mVersion;
-    private long mPulledAt;
-    private final PullHandler mPulls;
+    private ClassSpec mClassSpec;
+    private long mTrainerVersion;
+    private long mLastPullAt;
+    private final PullHandler mPullHandler;
     private boolean mClosed;
-    private long mStale;
-    private long mRepeated;
+    private long mStaleSamples;
+    private long mHedgedSamples;
 
     Step(
             StepManifest manifest,
-            ClassSpec spec,
-            CompletionRequestEncoder bodies,
-            StragglerPolicy stragglers,
+            ClassSpec classSpec,
+            CompletionRequestEncoder requestEncoder,
+            StragglerPolicy stragglerPolicy,
             RolloutOutputs outputs,
             long fence,
             long now) {
         mManifest = manifest;
-        mSpec = spec;
-        mBodies = bodies;
-        mStragglers = stragglers;
+        mClassSpec = classSpec;
+        mRequestEncoder = requestEncoder;
+        mStragglerPolicy = stragglerPolicy;
         mOutputs = outputs;
         mFence = fence;
         mStartedAt = now;
-        mPulledAt = now;
-        mPulls = new PullHandler(this, outputs);
-        mVersion = manifest.version();
+        mLastPullAt = now;
+        mPullHandler = new PullHandler(this, outputs);
+        mTrainerVersion = manifest.version();
         int index = 0;
         for (int group = 0; group < manifest.groups().size(); group++) {
             for (int i = 0; i < manifest.groups().get(group).samples(); i++) {
@@ -86,59 +89,62 @@
         return mSlots;
     }
 
-    /** Returns the trainer's version by its newest pull. */
+    /** Returns the trainer's weight version according to its latest pull. */
     long trainerVersion() {
-        return mVersion;
+        return mTrainerVersion;
     }
 
     ClassSpec classSpec() {
-        return mSpec;
+        return mClassSpec;
     }
 
     boolean isClosed() {
         return mClosed;
     }
 
-    /** Returns whether the trainer has not asked for the step for long. */
+    /** Returns whether the trainer has not pulled for a long time and no pull is pending. */
     boolean isIdle(long now) {
-        return !mPulls.hasPendingPull() && now - mPulledAt >= FORGOTTEN_NANOS;
+        return !mPullHandler.hasPendingPull() && now - mLastPullAt >= IDLE_TIMEOUT_NANOS;
     }
 
-    void onClassSpec(ClassSpec spec) {
-        mSpec = spec;
+    void onClassSpec(ClassSpec classSpec) {
+        mClassSpec = classSpec;
     }
 
-    /** Starts a step that was just submitted: nothing of it can exist anywhere. */
+    /** Starts a newly submitted step, of which no agent can hold or run anything. */
     void startNew(long now) {
         mOutputs.setMinVersion(mManifest.trainer(), minVersion());
         mSlots.forEach(slot -> submit(slot, now));
     }
 
-    /** Starts a step that another owner may have begun: asks the agents first. */
+    /** Starts a step that another owner may have started: first queries what the agents hold. */
     void startAfterTakeover(long now) {
         mOutputs.setMinVersion(mManifest.trainer(), minVersion());
         for (Slot slot : mSlots) {
             slot.mPhase = Slot.Phase.ADOPTED;
-            slot.mRetryAt = now + RETRY_NANOS;
+            slot.mRetryAt = now + RETRY_DELAY_NANOS;
         }
-        mOutputs.broadcast(mSpec.service(), heldQuery());
+        mOutputs.broadcast(mClassSpec.service(), heldQuery());
     }
 
     void onAgentConnected(VmId vm) {
         mOutputs.send(vm, heldQuery());
     }
 
-    /** Handles the loss of an agent: what it held or ran may come back with it for a while. */
+    /**
+     * Handles the loss of an agent's link. Slots whose samples the agent held, or whose adopted
+     * attempts it ran, run again unless it reconnects in time.
+     */
     void onAgentLost(VmId vm, long now) {
         for (Slot slot : mSlots) {
-            boolean there =
+            boolean heldOrRunning =
                     slot.mPhase == Slot.Phase.READY
                             || slot.mPhase == Slot.Phase.SCORING
                             || slot.mPhase == Slot.Phase.ADOPTED;
-            if (there && vm.equals(slot.mVm)) {
+            if (heldOrRunning && vm.equals(slot.mVm)) {
                 slot.mPhase = Slot.Phase.ADOPTED;
-                slot.mRetryAt = now + ADOPTION_NANOS;
-                mPulls.onContentUnavailable(slot.mIndex, now);
+                slot.mRetryAt = now + RECONNECT_TIMEOUT_NANOS;
+                mPullHandler.onContentUnavailable(slot.mIndex, now);
             }
         }
     }
@@ -148,13 +154,13 @@
         for (SampleKey key : held.running()) {
             Slot slot = slot(key);
             if (slot != null && slot.mPhase == Slot.Phase.ADOPTED) {
-                slot.mRetryAt = now + GIVE_UP_NANOS;
+                slot.mRetryAt = now + SAMPLE_TIMEOUT_NANOS;
                 slot.mVm = vm;
             }
         }
     }
 
-    /** Handles a finished sample; the first one for a slot stays, any other is released. */
+    /** Handles a finished sample. The first one for a slot is kept; any other is released. */
     void onSampleFinished(VmId vm, SampleKey key, SampleInfo info, long now) {
         Slot slot = slot(key);
         if (slot == null) {
@@ -167,7 +173,7 @@
             return;
         }
         if (slot.mPhase == Slot.Phase.SUBMITTED) {
-            mDurations.add(Nanos.toMillis(now - slot.mSubmittedAt));
+            mDurationsMillis.add(Nanos.toMillis(now - slot.mSubmittedAt));
             cancelWork(slot);
         }
         slot.mVm = vm;
@@ -176,21 +182,21 @@
             rerun(slot, now);
             return;
         }
-        slot.mPhase = mSpec.scorer() == null ? Slot.Phase.READY : Slot.Phase.SCORING;
+        slot.mPhase = mClassSpec.scorer() == null ? Slot.Phase.READY : Slot.Phase.SCORING;
         if (slot.mPhase == Slot.Phase.SCORING) {
-            slot.mRetryAt = now + FETCH_NANOS;
+            slot.mRetryAt = now + FETCH_TIMEOUT_NANOS;
             mOutputs.send(vm, new AttemptMessage.FetchSample(key));
         }
-        mPulls.fetchReadySamples(now);
+        mPullHandler.fetchReadySamples(now);
     }
 
-    /** Handles work that the dispatch duty gave up. */
+    /** Handles a sample whose work the dispatcher abandoned. */
     void onSampleFailed(SampleKey key, long now) {
         Slot slot = slot(key);
         if (slot != null && slot.mPhase == Slot.Phase.SUBMITTED) {
             cancelWork(slot);
             slot.reset();
-            slot.mRetryAt = now + RETRY_NANOS;
+            slot.mRetryAt = now + RETRY_DELAY_NANOS;
         }
     }
 
@@ -200,12 +206,12 @@
             return;
         }
         if (score == null) {
-            slot.mRetryAt = now + RETRY_NANOS;
+            slot.mRetryAt = now + RETRY_DELAY_NANOS;
             return;
         }
         slot.mScore = score;
         slot.mPhase = Slot.Phase.READY;
-        mPulls.fetchReadySamples(now);
+        mPullHandler.fetchReadySamples(now);
     }
 
     void onSampleContent(VmId vm, AttemptMessage.SampleContent message, long now) {
@@ -220,26 +226,26 @@
                 slot.reset();
                 submit(slot, now);
             }
-            mPulls.onContentUnavailable(slot.mIndex, now);
+            mPullHandler.onContentUnavailable(slot.mIndex, now);
             return;
         }
-        if (slot.mPhase == Slot.Phase.SCORING && mSpec.scorer() != null) {
-            slot.mRetryAt = now + FETCH_NANOS;
-            mOutputs.startScoring(mSpec.scorer(), message.key(), content);
+        if (slot.mPhase == Slot.Phase.SCORING && mClassSpec.scorer() != null) {
+            slot.mRetryAt = now + FETCH_TIMEOUT_NANOS;
+            mOutputs.startScoring(mClassSpec.scorer(), message.key(), content);
             return;
         }
-        mPulls.onSampleContent(slot, content, message.info(), now);
+        mPullHandler.onSampleContent(slot, content, message.info(), now);
     }
 
-    /** Handles a pull whose cursor is of this step. */
+    /** Handles a pull whose cursor belongs to this step. */
     void onPull(PendingPull pull, long now) {
-        if (mPulls.hasPendingPull()) {
+        if (mPullHandler.hasPendingPull()) {
             PullHandler.refuse(
-                    mOutputs, pull, FaultCode.CONFLICT, "another pull of the step is open");
+                    mOutputs, pull, FaultCode.CONFLICT, "another pull of the step is in progress");
             return;
         }
-        mVersion = pull.mVersion;
-        mPulledAt = now;
+        mTrainerVersion = pull.mVersion;
+        mLastPullAt = now;
         mOutputs.setMinVersion(mManifest.trainer(), minVersion());
         acknowledge(pull.mCursor);
         if (pull.mCursor.slotCount() == mSlots.size()) {
@@ -249,11 +255,11 @@
                     new StepReply(null, pull.mCursor.encode(), List.of(), 0, true));
             return;
         }
-        dropStale(now);
-        mPulls.start(pull, now);
+        rerunStaleSamples(now);
+        mPullHandler.start(pull, now);
     }
 
-    /** Ends the step: its attempts are cancelled and its samples released. */
+    /** Ends the step: cancels its attempts and tells the agents to discard its samples. */
     void close() {
         mClosed = true;
         for (Slot slot : mSlots) {
@@ -262,12 +268,12 @@
             }
         }
         mOutputs.broadcast(
-                mSpec.service(),
+                mClassSpec.service(),
                 new AttemptMessage.CloseStep(mManifest.trainer(), mManifest.step(), mFence));
-        mPulls.refusePending(FaultCode.CANCELLED, "the step was cancelled");
+        mPullHandler.refusePending(FaultCode.CANCELLED, "the step was cancelled");
     }
 
-    /** Forgets the step, because another process owns it now; its attempts go on. */
+    /** Stops running the step without cancelling its attempts, so that it can be taken over. */
     void detach() {
         mClosed = true;
         for (Slot slot : mSlots) {
@@ -276,12 +282,12 @@
                 mOutputs.detach(slot.mHedgeWorkId);
             }
         }
-        mPulls.refusePending(FaultCode.OWNER_UNAVAILABLE, "another entry owns the step now");
+        mPullHandler.refusePending(FaultCode.OWNER_UNAVAILABLE, "another entry owns the step now");
     }
 
-    /** Cancels the open pull of a request that nobody waits for any more. */
+    /** Drops the pending pull if it belongs to the given request. */
     void cancelPull(long requestId) {
-        mPulls.cancel(requestId);
+        mPullHandler.cancel(requestId);
     }
 
     void onTick(long now) {
@@ -293,12 +299,12 @@
                 slot.reset();
                 submit(slot, now);
             } else if (slot.mPhase == Slot.Phase.SCORING && slot.mVm != null) {
-                slot.mRetryAt = now + FETCH_NANOS;
+                slot.mRetryAt = now + FETCH_TIMEOUT_NANOS;
                 mOutputs.send(slot.mVm, new AttemptMessage.FetchSample(sampleKey(slot)));
             }
         }
-        repeatStragglers(now);
-        mPulls.onTick(now);
+        hedgeStragglers(now);
+        mPullHandler.onTick(now);
     }
 
     StepDump dump(long now) {
@@ -311,29 +317,31 @@
                 phases.getOrDefault(Slot.Phase.DELIVERED, 0),
                 phases.getOrDefault(Slot.Phase.READY, 0),
                 phases.getOrDefault(Slot.Phase.SUBMITTED, 0),
-                mStale,
-                mRepeated,
-                mVersion,
+                mStaleSamples,
+                mHedgedSamples,
+                mTrainerVersion,
                 Nanos.toMillis(now - mStartedAt));
     }
 
     private void acknowledge(Cursor cursor) {
-        Map<VmId, List<SampleKey>> releases = new HashMap<>();
-        BitSet has = cursor.slots();
-        for (int i = has.nextSetBit(0); i >= 0 && i < mSlots.size(); i = has.nextSetBit(i + 1)) {
+        Map<VmId, List<SampleKey>> samplesByVm = new HashMap<>();
+        BitSet delivered = cursor.slots();
+        for (int i = delivered.nextSetBit(0);
+                i >= 0 && i < mSlots.size();
+                i = delivered.nextSetBit(i + 1)) {
             Slot slot = mSlots.get(i);
             if (slot.mPhase == Slot.Phase.SUBMITTED) {
                 cancelWork(slot);
             }
             if (slot.mPhase != Slot.Phase.DELIVERED && slot.mVm != null) {
-                releases.computeIfAbsent(slot.mVm, vm -> new ArrayList<>()).add(sampleKey(slot));
+                samplesByVm.computeIfAbsent(slot.mVm, vm -> new ArrayList<>()).add(sampleKey(slot));
             }
             slot.mPhase = Slot.Phase.DELIVERED;
         }
-        releases.forEach(mOutputs::releaseSamples);
+        samplesByVm.forEach(mOutputs::releaseSamples);
     }
 
-    private void dropStale(long now) {
+    private void rerunStaleSamples(long now) {
         for (Slot slot : mSlots) {
             if (slot.mPhase == Slot.Phase.READY && slot.mInfo != null && isStale(slot.mInfo)) {
                 rerun(slot, now);
@@ -341,9 +349,9 @@
         }
     }
 
-    /** Runs a slot again whose sample is too old. */
+    /** Discards a slot's sample that is too old, and runs the slot again. */
     void rerun(Slot slot, long now) {
-        mStale++;
+        mStaleSamples++;
         if (slot.mVm != null) {
             mOutputs.releaseSamples(slot.mVm, List.of(sampleKey(slot)));
         }
@@ -356,7 +364,7 @@
     }
 
     private long minVersion() {
-        return mVersion - mSpec.stalenessVersions();
+        return mTrainerVersion - mClassSpec.stalenessVersions();
     }
 
     private void submit(Slot slot, long now) {
@@ -365,20 +373,25 @@
         slot.mWorkId = submitWork(slot, now);
     }
 
-    /** Starts second attempts of slow slots in the tail; whichever finishes first stays. */
-    private void repeatStragglers(long now) {
+    /**
+     * Starts hedged attempts for slow slots according to the policy. The sample that finishes first
+     * is kept.
+     */
+    private void hedgeStragglers(long now) {
         int unfinished = 0;
         for (Slot slot : mSlots) {
             if (!isFilled(slot)) {
                 unfinished++;
             }
         }
-        long typical = mDurations.quantile(MEDIAN, 0);
+        long medianMillis = mDurationsMillis.quantile(MEDIAN, 0);
         for (Slot slot : mSlots) {
-            boolean single = slot.mPhase == Slot.Phase.SUBMITTED && slot.mHedgeWorkId == 0;
-            long age = Nanos.toMillis(now - slot.mSubmittedAt);
-            if (single && mStragglers.shouldHedge(age, typical, unfinished, mSlots.size())) {
-                mRepeated++;
+            boolean canHedge = slot.mPhase == Slot.Phase.SUBMITTED && slot.mHedgeWorkId == 0;
+            long ageMillis = Nanos.toMillis(now - slot.mSubmittedAt);
+            if (canHedge
+                    && mStragglerPolicy.shouldHedge(
+                            ageMillis, medianMillis, unfinished, mSlots.size())) {
+                mHedgedSamples++;
                 slot.mHedgeWorkId = submitWork(slot, now);
             }
         }
@@ -398,17 +411,17 @@
                 new Work(
                         id,
                         WorkKind.SAMPLE,
-                        mSpec.service(),
-                        mSpec.name(),
+                        mClassSpec.service(),
+                        mClassSpec.name(),
                         0,
                         now,
-                        mStartedAt + Nanos.ofMillis(mSpec.trainerIdleMillis()),
-                        now + GIVE_UP_NANOS,
+                        mStartedAt + Nanos.ofMillis(mClassSpec.trainerIdleMillis()),
+                        now + SAMPLE_TIMEOUT_NANOS,
                         true,
                         false,
-                        COMPLETIONS,
-                        JSON,
-                        mBodies.encode(group),
+                        COMPLETIONS_PATH,
+                        JSON_CONTENT_TYPE,
+                        mRequestEncoder.encode(group),
                         group.prompt().hashCode(),
                         sampleKey(slot),
                         mFence));
@@ -430,10 +443,10 @@
     }
 
     private @Nullable Slot slot(SampleKey key) {
-        boolean mine =
+        boolean belongsToStep =
                 key.trainer().equals(mManifest.trainer())
                         && key.step() == mManifest.step()
                         && key.slot() < mSlots.size();
-        return mine ? mSlots.get(key.slot()) : null;
+        return belongsToStep ? mSlots.get(key.slot()) : null;
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StepManifest.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StepManifest.java
@@ -8,7 +8,11 @@
 import org.ebonyrun.base.id.TrainerId;
 
 /**
- * What a trainer wants of one step. Slots are numbered from zero, group after group.
+ * The manifest that a trainer submits for a step in deployments with agents: the prompts and the
+ * number of samples of each. Slots are numbered from zero, group after group.
+ *
+ * <p>{@code org.ebonyrun.daemon.hosted.StepManifest} is another type: the small part of a step that
+ * entries without agents store.
  *
  * <p>Immutable and thread safe.
  *
@@ -24,10 +28,10 @@
         @JsonProperty("class") ClassName className,
         @JsonProperty("version") long version,
         @JsonProperty("groups") List<PromptGroup> groups) {
-    /** Greatest number of samples in a step. */
+    /** Maximum number of samples in a step. */
     public static final int MAX_SLOTS = 65_536;
 
-    /** Copies the groups and checks the size. */
+    /** Copies the groups and checks the number of samples. */
     public StepManifest {
         checkArgument(trainer != null, "trainer is missing");
         checkArgument(className != null, "class is missing");
@@ -37,7 +41,7 @@
         checkArgument(slots <= MAX_SLOTS, "a step has at most %s samples: %s", MAX_SLOTS, slots);
     }
 
-    /** Returns the number of slots. */
+    /** Returns the number of slots, which is the number of samples of all groups. */
     public int slots() {
         return groups.stream().mapToInt(PromptGroup::samples).sum();
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StepReply.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StepReply.java
@@ -5,13 +5,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The answer to a {@link StepRequest}.
+ * The reply to a {@link StepRequest}.
  *
- * @param fault what went wrong; null on success
- * @param cursor the cursor that includes the samples of this answer
- * @param samples the samples
- * @param remaining how many slots the trainer still lacks after this answer
- * @param complete whether the trainer has the whole step
+ * @param fault the reason of the failure; null on success
+ * @param cursor the pull's cursor extended by the samples of this reply
+ * @param samples the delivered samples
+ * @param remaining the number of slots that the trainer lacks after this reply
+ * @param complete whether the trainer has acknowledged every slot of the step
  */
 public record StepReply(
         @Nullable Fault fault,
@@ -24,12 +24,12 @@
         samples = List.copyOf(samples);
     }
 
-    /** Returns a failed answer. */
+    /** Returns the reply to a request that failed. */
     public static StepReply failed(Fault fault) {
         return new StepReply(fault, "", List.of(), 0, false);
     }
 
-    /** Returns the answer to a submission or cancellation that succeeded. */
+    /** Returns the reply to a submission or cancellation that succeeded. */
     public static StepReply accepted() {
         return new StepReply(null, "", List.of(), 0, false);
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StepRequest.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/StepRequest.java
@@ -3,15 +3,15 @@
 import org.ebonyrun.base.id.TrainerId;
 import org.ebonyrun.base.wire.Message;
 
-/** What trainers ask of a step's owner. Immutable. */
+/** Requests of trainers to the owner of a step. Immutable. */
 public sealed interface StepRequest extends Message {
-    /** Returns the trainer whose step it is. */
+    /** Returns the trainer that the step belongs to. */
     TrainerId trainer();
 
     /** Returns the number of the step. */
     long step();
 
-    /** Submits a step; repeating it changes nothing. */
+    /** Submits a step. Idempotent. */
     record Submit(StepManifest manifest) implements StepRequest {
         @Override
         public TrainerId trainer() {
@@ -25,16 +25,16 @@
     }
 
     /**
-     * Asks for finished samples.
+     * Requests finished samples.
      *
-     * @param cursor the cursor of the answer before; empty for the first pull
-     * @param version the trainer's weight version now
-     * @param max the greatest number of samples in the answer
-     * @param waitMillis how long to wait for a sample, in milliseconds
+     * @param cursor the cursor of the previous reply; empty for the first pull
+     * @param version the trainer's current weight version
+     * @param max the maximum number of samples in the reply
+     * @param waitMillis how long the owner waits for a finished sample, in milliseconds
      */
     record Pull(TrainerId trainer, long step, String cursor, long version, int max, long waitMillis)
             implements StepRequest {}
 
-    /** Gives a step up. */
+    /** Cancels a step. */
     record Cancel(TrainerId trainer, long step) implements StepRequest {}
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TrainerSteps.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TrainerSteps.java
@@ -20,43 +20,47 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The steps of one trainer as one entry sees them: owned here, owned elsewhere, or not known yet.
+ * The steps of one trainer in one entry. Requests are handled here if this process holds the
+ * trainer's lease, forwarded if another process holds it, and queued while the holder is unknown.
  *
- * <p>Invariant: steps are in memory only while this process holds the trainer's lease. A step for
- * which the trainer has not asked for half an hour is put away; its manifest stays, and a later
- * pull takes it up again.
+ * <p>Invariant: steps are in memory only while this process holds the trainer's lease.
  *
- * <p>Not thread safe; confined to the rollout duty.
+ * <p>A step that the trainer has not pulled from for half an hour is unloaded. Its manifest stays
+ * stored, and a later pull loads it again.
+ *
+ * <p>Not thread safe; confined to the rollout event loop.
  */
 final class TrainerSteps {
-    private static final long PARK_NANOS = Nanos.ofMillis(4_000);
-    private static final long RETRY_MILLIS = 500;
+    // How long a request waits for the lease's holder to become known.
+    private static final long OWNER_TIMEOUT_NANOS = Nanos.ofMillis(4_000);
+    private static final long RETRY_AFTER_MILLIS = 500;
 
     private final TrainerId mTrainer;
     private final Lease mLease;
-    private final CompletionRequestEncoder mBodies;
-    private final StragglerPolicy mStragglers;
+    private final CompletionRequestEncoder mRequestEncoder;
+    private final StragglerPolicy mStragglerPolicy;
     private final RolloutOutputs mOutputs;
     private final Map<Long, Step> mSteps = new HashMap<>();
-    private final Map<Long, List<Parked>> mStoring = new HashMap<>();
-    private final Map<Long, List<Parked>> mLoading = new HashMap<>();
-    private final List<Parked> mParked = new ArrayList<>();
+    private final Map<Long, List<PendingRequest>> mWaitingForStore = new HashMap<>();
+    private final Map<Long, List<PendingRequest>> mWaitingForLoad = new HashMap<>();
+    private final List<PendingRequest> mWaitingForOwner = new ArrayList<>();
 
     TrainerSteps(
             TrainerId trainer,
             LeaseHolder self,
-            CompletionRequestEncoder bodies,
-            StragglerPolicy stragglers,
+            CompletionRequestEncoder requestEncoder,
+            StragglerPolicy stragglerPolicy,
             RolloutOutputs outputs) {
         mTrainer = trainer;
         mLease = Lease.create("owner/" + trainer, self, outputs);
-        mBodies = bodies;
-        mStragglers = stragglers;
+        mRequestEncoder = requestEncoder;
+        mStragglerPolicy = stragglerPolicy;
         mOutputs = outputs;
     }
 
-    /** A request that waits for the lease or for the manifest. */
-    private record Parked(long requestId, StepRequest request, boolean forwarded, long until) {}
+    /** A request that waits for the lease, or for the manifest to be stored or loaded. */
+    private record PendingRequest(
+            long requestId, StepRequest request, boolean forwarded, long deadline) {}
 
     Collection<Step> steps() {
         return mSteps.values();
@@ -72,23 +76,24 @@
             boolean forwarded,
             OperatorConfig config,
             long now) {
-        Parked parked = new Parked(requestId, request, forwarded, now + PARK_NANOS);
-        dispatch(parked, config, now);
+        PendingRequest pending =
+                new PendingRequest(requestId, request, forwarded, now + OWNER_TIMEOUT_NANOS);
+        handleOrForward(pending, config, now);
     }
 
-    void onLeaseRecord(LeaseRecord reading, OperatorConfig config, long now) {
+    void onLeaseRecord(LeaseRecord leaseRecord, OperatorConfig config, long now) {
         long fence = mLease.fence();
-        mLease.onRecord(reading, now);
+        mLease.onRecord(leaseRecord, now);
         if (!mLease.isHeld(now) || mLease.fence() != fence) {
             detachAll();
         }
-        retryParked(config, now);
+        retryWaiting(config, now);
     }
 
     void onLeaseUnavailable(OperatorConfig config, long now) {
         mLease.onUnavailable(now);
         if (mLease.isHeld(now)) {
-            retryParked(config, now);
+            retryWaiting(config, now);
         }
     }
 
@@ -99,51 +104,54 @@
 
     void onManifestStored(
             StepManifest manifest, Optional<Fault> fault, OperatorConfig config, long now) {
-        List<Parked> waiting = mStoring.remove(manifest.step());
+        List<PendingRequest> waiting = mWaitingForStore.remove(manifest.step());
         if (waiting == null) {
             return;
         }
         if (fault.isPresent()) {
-            waiting.forEach(parked -> fail(parked.requestId(), fault.get()));
+            waiting.forEach(pending -> fail(pending.requestId(), fault.get()));
             return;
         }
         if (mLease.isHeld(now) && !mSteps.containsKey(manifest.step())) {
-            Step step = create(manifest, config, now);
+            Step step = createStep(manifest, config, now);
             if (step != null) {
                 step.startNew(now);
             }
         }
-        waiting.forEach(parked -> mOutputs.reply(parked.requestId(), StepReply.accepted()));
+        waiting.forEach(pending -> mOutputs.reply(pending.requestId(), StepReply.accepted()));
     }
 
-    /** Handles a manifest that was read: one that a pull needs, or that a submission met. */
+    /**
+     * Handles the outcome of loading a manifest: a pull or cancellation needs the manifest, and a
+     * submission checks whether the step has one already.
+     */
     void onManifestLoaded(
             long step,
             @Nullable StepManifest manifest,
             Optional<Fault> fault,
             OperatorConfig config,
             long now) {
-        List<Parked> waiting = mLoading.remove(step);
+        List<PendingRequest> waiting = mWaitingForLoad.remove(step);
         if (waiting == null) {
             return;
         }
         if (fault.isPresent()) {
-            waiting.forEach(parked -> fail(parked.requestId(), fault.get()));
+            waiting.forEach(pending -> fail(pending.requestId(), fault.get()));
             return;
         }
         if (manifest != null && mLease.isHeld(now) && !mSteps.containsKey(step)) {
-            Step created = create(manifest, config, now);
+            Step created = createStep(manifest, config, now);
             if (created != null) {
                 created.startAfterTakeover(now);
             }
         }
-        for (Parked parked : waiting) {
-            if (manifest == null && parked.request() instanceof StepRequest.Submit submit) {
-                store(parked, submit.manifest());
+        for (PendingRequest pending : waiting) {
+            if (manifest == null && pending.request() instanceof StepRequest.Submit submit) {
+                store(pending, submit.manifest());
             } else if (!mSteps.containsKey(step)) {
-                fail(parked.requestId(), unknownStep(step));
+                fail(pending.requestId(), unknownStep(step));
             } else {
-                handle(parked, config, now);
+                handle(pending, config, now);
             }
         }
     }
@@ -155,7 +163,7 @@
     }
 
     void cancelRequest(long requestId) {
-        mParked.removeIf(parked -> parked.requestId() == requestId);
+        mWaitingForOwner.removeIf(pending -> pending.requestId() == requestId);
         mSteps.values().forEach(step -> step.cancelPull(requestId));
     }
 
@@ -173,131 +181,150 @@
                 mSteps.remove(step.manifest().step());
             }
         }
-        expireParked(now);
-        retryParked(config, now);
+        expireWaiting(now);
+        retryWaiting(config, now);
     }
 
-    private void dispatch(Parked parked, OperatorConfig config, long now) {
+    private void handleOrForward(PendingRequest pending, OperatorConfig config, long now) {
         LeaseState state = mLease.state(now);
         LeaseHolder holder = mLease.holder();
         if (state == LeaseState.HELD) {
-            handle(parked, config, now);
-        } else if (state == LeaseState.OTHER && holder != null && !parked.forwarded()) {
-            mOutputs.forward(holder, parked.requestId(), parked.request());
+            handle(pending, config, now);
+        } else if (state == LeaseState.OTHER && holder != null && !pending.forwarded()) {
+            mOutputs.forward(holder, pending.requestId(), pending.request());
         } else if (state == LeaseState.OTHER) {
-            fail(parked.requestId(), ownerUnavailable("this entry does not own the step"));
+            fail(pending.requestId(), ownerUnavailable("this entry does not own the step"));
         } else {
-            mParked.add(parked);
+            mWaitingForOwner.add(pending);
             mLease.acquireIfDue(now);
         }
     }
 
-    private void handle(Parked parked, OperatorConfig config, long now) {
-        StepRequest request = parked.request();
+    private void handle(PendingRequest pending, OperatorConfig config, long now) {
+        StepRequest request = pending.request();
         Step step = mSteps.get(request.step());
         if (request instanceof StepRequest.Submit submit) {
-            submit(parked, submit.manifest(), step, config);
+            submit(pending, submit.manifest(), step, config);
         } else if (request instanceof StepRequest.Pull pull) {
-            pull(parked, pull, step, now);
+            pull(pending, pull, step, now);
         } else if (step != null) {
             close(step);
-            mOutputs.reply(parked.requestId(), StepReply.accepted());
+            mOutputs.reply(pending.requestId(), StepReply.accepted());
         } else {
-            load(parked);
+            load(pending);
         }
     }
 
     private void submit(
-            Parked parked, StepManifest manifest, @Nullable Step present, OperatorConfig config) {
-        if (present != null) {
-            answerRepeated(parked, manifest, present);
+            PendingRequest pending,
+            StepManifest manifest,
+            @Nullable Step existing,
+            OperatorConfig config) {
+        if (existing != null) {
+            answerResubmission(pending, manifest, existing);
             return;
         }
         ClassSpec spec = config.classSpec(manifest.className()).orElse(null);
         if (spec == null || spec.kind() != ClassKind.ROLLOUT) {
             String detail = "no rollout class is called '" + manifest.className() + "'";
-            fail(parked.requestId(), Fault.notRun(FaultCode.NOT_FOUND, "step.submit", "", detail));
+            fail(pending.requestId(), Fault.notRun(FaultCode.NOT_FOUND, "step.submit", "", detail));
             return;
         }
-        load(parked);
+        load(pending);
     }
 
-    private void answerRepeated(Parked parked, StepManifest manifest, Step present) {
-        if (present.manifest().equals(manifest)) {
-            mOutputs.reply(parked.requestId(), StepReply.accepted());
+    private void answerResubmission(PendingRequest pending, StepManifest manifest, Step existing) {
+        if (existing.manifest().equals(manifest)) {
+            mOutputs.reply(pending.requestId(), StepReply.accepted());
             return;
         }
-        String detail = "step " + manifest.step() + " was submitted with other prompts";
-        fail(parked.requestId(), Fault.notRun(FaultCode.CONFLICT, "step.submit", "", detail));
+        String detail =
+                "step " + manifest.step() + " was already submitted with a different manifest";
+        fail(pending.requestId(), Fault.notRun(FaultCode.CONFLICT, "step.submit", "", detail));
     }
 
-    private void store(Parked parked, StepManifest manifest) {
-        List<Parked> waiting = mStoring.computeIfAbsent(manifest.step(), key -> new ArrayList<>());
-        waiting.add(parked);
+    private void store(PendingRequest pending, StepManifest manifest) {
+        List<PendingRequest> waiting =
+                mWaitingForStore.computeIfAbsent(manifest.step(), key -> new ArrayList<>());
+        waiting.add(pending);
         if (waiting.size() == 1) {
             mOutputs.storeManifest(manifest);
         }
     }
 
-    private void pull(Parked parked, StepRequest.Pull pull, @Nullable Step step, long now) {
+    private void pull(
+            PendingRequest pending, StepRequest.Pull pull, @Nullable Step step, long now) {
         Cursor.decode(pull.cursor(), mTrainer, pull.step())
                 .fold(
                         cursor -> {
-                            pull(parked, pull, cursor, step, now);
+                            pull(pending, pull, cursor, step, now);
                             return cursor;
                         },
                         fault -> {
-                            fail(parked.requestId(), fault);
+                            fail(pending.requestId(), fault);
                             return fault;
                         });
     }
 
     private void pull(
-            Parked parked, StepRequest.Pull pull, Cursor given, @Nullable Step step, long now) {
-        if (step == null && given.isComplete()) {
+            PendingRequest pending,
+            StepRequest.Pull pull,
+            Cursor decoded,
+            @Nullable Step step,
+            long now) {
+        if (step == null && decoded.isComplete()) {
             mOutputs.reply(
-                    parked.requestId(), new StepReply(null, pull.cursor(), List.of(), 0, true));
+                    pending.requestId(), new StepReply(null, pull.cursor(), List.of(), 0, true));
             return;
         }
         if (step == null) {
-            load(parked);
+            load(pending);
             return;
         }
         int slots = step.manifest().slots();
         Cursor cursor =
-                given.totalSlots() == 0 ? Cursor.empty(mTrainer, pull.step(), slots) : given;
+                decoded.totalSlots() == 0 ? Cursor.empty(mTrainer, pull.step(), slots) : decoded;
         if (cursor.totalSlots() != slots) {
-            String detail = "the cursor is of a step with " + cursor.totalSlots() + " samples";
+            String detail = "the cursor belongs to a step with " + cursor.totalSlots() + " samples";
             fail(
-                    parked.requestId(),
+                    pending.requestId(),
                     Fault.notRun(FaultCode.BAD_REQUEST, "step.cursor", "", detail));
             return;
         }
         long deadline = now + Nanos.ofMillis(pull.waitMillis());
         step.onPull(
                 new PendingPull(
-                        parked.requestId(), cursor, pull.version(), pull.max(), now, deadline),
+                        pending.requestId(), cursor, pull.version(), pull.max(), now, deadline),
                 now);
         if (step.isClosed()) {
             remove(step);
         }
     }
 
-    private void load(Parked parked) {
-        long step = parked.request().step();
-        List<Parked> waiting = mLoading.computeIfAbsent(step, key -> new ArrayList<>());
-        waiting.add(parked);
+    private void load(PendingRequest pending) {
+        long step = pending.request().step();
+        List<PendingRequest> waiting =
+                mWaitingForLoad.computeIfAbsent(step, key -> new ArrayList<>());
+        waiting.add(pending);
         if (waiting.size() == 1) {
             mOutputs.loadManifest(mTrainer, step);
         }
     }
 
-    private @Nullable Step create(StepManifest manifest, OperatorConfig config, long now) {
+    private @Nullable Step createStep(StepManifest manifest, OperatorConfig config, long now) {
         ClassSpec spec = config.classSpec(manifest.className()).orElse(null);
         if (spec == null) {
             return null;
         }
-        Step step = new Step(manifest, spec, mBodies, mStragglers, mOutputs, mLease.fence(), now);
+        Step step =
+                new Step(
+                        manifest,
+                        spec,
+                        mRequestEncoder,
+                        mStragglerPolicy,
+                        mOutputs,
+                        mLease.fence(),
+                        now);
         mSteps.put(manifest.step(), step);
         return step;
     }
@@ -313,31 +340,33 @@
         mOutputs.deleteManifest(mTrainer, manifest.step(), manifest.slots());
     }
 
-    /** Forgets all steps; their attempts go on. */
+    /** Unloads all steps without cancelling their attempts. */
     void detachAll() {
         mSteps.values().forEach(Step::detach);
         mSteps.clear();
     }
 
-    private void retryParked(OperatorConfig config, long now) {
-        if (mParked.isEmpty()) {
+    private void retryWaiting(OperatorConfig config, long now) {
+        if (mWaitingForOwner.isEmpty()) {
             return;
         }
         LeaseState state = mLease.state(now);
         if (state == LeaseState.HELD || state == LeaseState.OTHER) {
-            List<Parked> parked = List.copyOf(mParked);
-            mParked.clear();
-            parked.forEach(request -> dispatch(request, config, now));
+            List<PendingRequest> pending = List.copyOf(mWaitingForOwner);
+            mWaitingForOwner.clear();
+            pending.forEach(request -> handleOrForward(request, config, now));
         } else {
             mLease.acquireIfDue(now);
         }
     }
 
-    private void expireParked(long now) {
-        for (Parked parked : List.copyOf(mParked)) {
-            if (now - parked.until() >= 0) {
-                mParked.remove(parked);
-                fail(parked.requestId(), ownerUnavailable("the owner is not known"));
+    private void expireWaiting(long now) {
+        for (PendingRequest pending : List.copyOf(mWaitingForOwner)) {
+            if (now - pending.deadline() >= 0) {
+                mWaitingForOwner.remove(pending);
+                fail(
+                        pending.requestId(),
+                        ownerUnavailable("the owner of the step could not be determined"));
             }
         }
     }
@@ -348,7 +377,7 @@
 
     private static Fault ownerUnavailable(String detail) {
         return Fault.notRun(FaultCode.OWNER_UNAVAILABLE, "step.owner", "", detail)
-                .withRetryAfterMillis(RETRY_MILLIS);
+                .withRetryAfterMillis(RETRY_AFTER_MILLIS);
     }
 
     private Fault unknownStep(long step) {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/EndpointTracker.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/EndpointTracker.java
@@ -13,56 +13,66 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which endpoints of one service have which version, which of them load one, and from where.
+ * Tracks, for the endpoints of one service, the weight version of each, the loads that were
+ * ordered, and the sources that the loads copy from.
  *
- * <p>Everything that a decision needs is kept up to date as reports come in, so that a decision
- * costs the same however many endpoints there are.
+ * <p>The sets that a decision needs are updated with each report, so that the cost of a decision
+ * does not grow with the number of endpoints.
  *
- * <p>Not thread safe; confined to the weight duty.
+ * <p>Not thread safe; confined to the planner's event loop.
  */
 final class EndpointTracker {
-    /** The weight store as a source. */
+    /** The source that stands for the weight store; any other source is the ID of a VM. */
     static final String STORE = "";
 
-    private final Map<VmId, Replica> mReplicas = new TreeMap<>();
-    private final TreeSet<Replica> mBehind =
+    private final Map<VmId, TrackedEndpoint> mEndpoints = new TreeMap<>();
+    // Endpoints with an old version that can be ordered to load the latest one, oldest first.
+    private final TreeSet<TrackedEndpoint> mOutdated =
             new TreeSet<>(
-                    Comparator.comparingLong((Replica replica) -> replica.mVersion)
-                            .thenComparing(replica -> replica.mVm));
-    private final TreeSet<Replica> mDelayed =
+                    Comparator.comparingLong((TrackedEndpoint endpoint) -> endpoint.mVersion)
+                            .thenComparing(endpoint -> endpoint.mVm));
+    // Endpoints that can be ordered again only after their backoff, earliest first.
+    private final TreeSet<TrackedEndpoint> mInBackoff =
             new TreeSet<>(
-                    Comparator.comparingLong((Replica replica) -> replica.mNotBefore)
-                            .thenComparing(replica -> replica.mVm));
-    private final Set<VmId> mSpareHolders = new LinkedHashSet<>();
-    private final Map<String, Integer> mCopies = new HashMap<>();
-    private final Map<VmId, Replica> mLoading = new TreeMap<>();
-    private long mLatest;
-    private long mFailures;
-
-    /** One endpoint. Its place in the sets is changed only between {@code detach} and attach. */
-    private static final class Replica {
+                    Comparator.comparingLong((TrackedEndpoint endpoint) -> endpoint.mBackoffUntil)
+                            .thenComparing(endpoint -> endpoint.mVm));
+    // VMs that have the latest version and may serve another copy of it.
+    private final Set<VmId> mAvailableSources = new LinkedHashSet<>();
+    // The number of loads in progress from each source.
+    private final Map<String, Integer> mLoadsBySource = new HashMap<>();
+    private final Map<VmId, TrackedEndpoint> mLoading = new TreeMap<>();
+    private long mLatestVersion;
+    private long mFailureCount;
+
+    /**
+     * The state of one endpoint. The fields that the sets are ordered by change only between {@code
+     * detach}, which removes it from the sets, and {@code attach}, which adds it again.
+     */
+    private static final class TrackedEndpoint {
         private final VmId mVm;
         private long mVersion;
-        private long mOrdered;
+        // The version that it was ordered to load; zero if none.
+        private long mOrderedVersion;
         private String mSource = STORE;
-        private long mOrderedUntil;
-        private long mNotBefore;
+        private long mOrderDeadline;
+        // The end of its backoff; zero if none.
+        private long mBackoffUntil;
 
-        Replica(VmId vm) {
+        TrackedEndpoint(VmId vm) {
             mVm = vm;
         }
     }
 
     long latestVersion() {
-        return mLatest;
+        return mLatestVersion;
     }
 
     long failureCount() {
-        return mFailures;
+        return mFailureCount;
     }
 
     int endpointCount() {
-        return mReplicas.size();
+        return mEndpoints.size();
     }
 
     int loadingCount() {
@@ -71,167 +81,174 @@
 
     Map<VmId, Long> versions() {
         Map<VmId, Long> versions = new TreeMap<>();
-        mReplicas.forEach((vm, replica) -> versions.put(vm, replica.mVersion));
+        mEndpoints.forEach((vm, endpoint) -> versions.put(vm, endpoint.mVersion));
         return versions;
     }
 
-    /** Takes note of a newer version in the store; every endpoint is placed anew. */
+    /**
+     * Handles the newest version in the store. If it is newer than the latest known one, every
+     * endpoint is sorted into the sets anew.
+     */
     void onLatestVersion(long version) {
-        if (version <= mLatest) {
+        if (version <= mLatestVersion) {
             return;
         }
-        mLatest = version;
-        mSpareHolders.clear();
-        for (Replica replica : mReplicas.values()) {
-            detach(replica);
-            attach(replica);
+        mLatestVersion = version;
+        mAvailableSources.clear();
+        for (TrackedEndpoint endpoint : mEndpoints.values()) {
+            detach(endpoint);
+            attach(endpoint);
         }
     }
 
     void onVersion(VmId vm, long version) {
-        Replica replica = mReplicas.computeIfAbsent(vm, Replica::new);
-        boolean done = replica.mOrdered > 0 && version >= replica.mOrdered;
-        if (replica.mVersion == version && !done && isAttached(replica)) {
+        TrackedEndpoint endpoint = mEndpoints.computeIfAbsent(vm, TrackedEndpoint::new);
+        boolean done = endpoint.mOrderedVersion > 0 && version >= endpoint.mOrderedVersion;
+        if (endpoint.mVersion == version && !done && isAttached(endpoint)) {
             return;
         }
-        detach(replica);
-        replica.mVersion = version;
+        detach(endpoint);
+        endpoint.mVersion = version;
         if (done) {
-            endLoad(replica);
+            endLoad(endpoint);
         }
-        attach(replica);
+        attach(endpoint);
     }
 
     void remove(VmId vm) {
-        Replica replica = mReplicas.remove(vm);
-        if (replica != null) {
-            detach(replica);
-            endLoad(replica);
-            mSpareHolders.remove(vm);
+        TrackedEndpoint endpoint = mEndpoints.remove(vm);
+        if (endpoint != null) {
+            detach(endpoint);
+            endLoad(endpoint);
+            mAvailableSources.remove(vm);
         }
     }
 
     /** Returns whether the endpoint was ordered to load this version. */
     boolean isLoading(VmId vm, long version) {
-        Replica replica = mLoading.get(vm);
-        return replica != null && replica.mOrdered == version;
+        TrackedEndpoint endpoint = mLoading.get(vm);
+        return endpoint != null && endpoint.mOrderedVersion == version;
     }
 
     void onLoaded(VmId vm, long version) {
-        Replica replica = mReplicas.get(vm);
-        if (replica != null) {
-            detach(replica);
-            endLoad(replica);
-            replica.mVersion = version;
-            attach(replica);
+        TrackedEndpoint endpoint = mEndpoints.get(vm);
+        if (endpoint != null) {
+            detach(endpoint);
+            endLoad(endpoint);
+            endpoint.mVersion = version;
+            attach(endpoint);
         }
     }
 
-    void onFailed(VmId vm, long notBefore) {
-        Replica replica = mReplicas.get(vm);
-        if (replica != null) {
-            mFailures++;
-            detach(replica);
-            endLoad(replica);
-            replica.mNotBefore = notBefore;
-            attach(replica);
+    void onFailed(VmId vm, long backoffUntil) {
+        TrackedEndpoint endpoint = mEndpoints.get(vm);
+        if (endpoint != null) {
+            mFailureCount++;
+            detach(endpoint);
+            endLoad(endpoint);
+            endpoint.mBackoffUntil = backoffUntil;
+            attach(endpoint);
         }
     }
 
-    void onOrderSent(VmId vm, String source, long until) {
-        Replica replica = mReplicas.get(vm);
-        if (replica != null) {
-            detach(replica);
-            replica.mOrdered = mLatest;
-            replica.mSource = source;
-            replica.mOrderedUntil = until;
-            mLoading.put(vm, replica);
-            mCopies.merge(source, 1, Integer::sum);
-            updateSpare(source);
+    void onOrderSent(VmId vm, String source, long deadline) {
+        TrackedEndpoint endpoint = mEndpoints.get(vm);
+        if (endpoint != null) {
+            detach(endpoint);
+            endpoint.mOrderedVersion = mLatestVersion;
+            endpoint.mSource = source;
+            endpoint.mOrderDeadline = deadline;
+            mLoading.put(vm, endpoint);
+            mLoadsBySource.merge(source, 1, Integer::sum);
+            updateAvailability(source);
         }
     }
 
-    /** Gives orders up whose answer has not come, and lets delayed endpoints be ordered again. */
+    /**
+     * Fails orders that got no result in time, and makes endpoints whose backoff is over available
+     * for orders.
+     */
     void processTimeouts(long now) {
-        for (Replica replica : List.copyOf(mLoading.values())) {
-            if (now - replica.mOrderedUntil >= 0) {
-                onFailed(replica.mVm, now);
+        for (TrackedEndpoint endpoint : List.copyOf(mLoading.values())) {
+            if (now - endpoint.mOrderDeadline >= 0) {
+                onFailed(endpoint.mVm, now);
             }
         }
-        List<Replica> due = new ArrayList<>();
-        for (Replica replica : mDelayed) {
-            if (now - replica.mNotBefore < 0) {
+        List<TrackedEndpoint> due = new ArrayList<>();
+        for (TrackedEndpoint endpoint : mInBackoff) {
+            if (now - endpoint.mBackoffUntil < 0) {
                 break;
             }
-            due.add(replica);
+            due.add(endpoint);
         }
-        for (Replica replica : due) {
-            mDelayed.remove(replica);
-            replica.mNotBefore = 0;
-            attach(replica);
+        for (TrackedEndpoint endpoint : due) {
+            mInBackoff.remove(endpoint);
+            endpoint.mBackoffUntil = 0;
+            attach(endpoint);
         }
     }
 
-    /** Returns the endpoint with the oldest version that may be ordered, or null. */
+    /** Returns the endpoint with the oldest version among those that may be ordered, or null. */
     @Nullable VmId nextOutdated() {
-        return mBehind.isEmpty() ? null : mBehind.first().mVm;
+        return mOutdated.isEmpty() ? null : mOutdated.first().mVm;
     }
 
-    /** Returns a VM to copy from, the store, or null while every source is busy. */
+    /** Returns the source for the next load: a VM or the store, or null if every source is busy. */
     @Nullable String chooseSource() {
-        if (!mSpareHolders.isEmpty()) {
-            return mSpareHolders.iterator().next().value();
+        if (!mAvailableSources.isEmpty()) {
+            return mAvailableSources.iterator().next().value();
         }
-        boolean storeFree = mCopies.getOrDefault(STORE, 0) < WeightPlanner.MAX_STORE_FETCHES;
+        boolean storeFree = mLoadsBySource.getOrDefault(STORE, 0) < WeightPlanner.MAX_STORE_FETCHES;
         return storeFree ? STORE : null;
     }
 
-    private boolean isAttached(Replica replica) {
-        return replica.mVersion >= mLatest
-                || replica.mOrdered > 0
-                || mBehind.contains(replica)
-                || mDelayed.contains(replica);
+    private boolean isAttached(TrackedEndpoint endpoint) {
+        return endpoint.mVersion >= mLatestVersion
+                || endpoint.mOrderedVersion > 0
+                || mOutdated.contains(endpoint)
+                || mInBackoff.contains(endpoint);
     }
 
-    private void detach(Replica replica) {
-        mBehind.remove(replica);
-        mDelayed.remove(replica);
+    private void detach(TrackedEndpoint endpoint) {
+        mOutdated.remove(endpoint);
+        mInBackoff.remove(endpoint);
     }
 
-    private void attach(Replica replica) {
-        if (replica.mVersion >= mLatest) {
-            updateSpare(replica.mVm.value());
-        } else if (replica.mOrdered == 0 && replica.mNotBefore > 0) {
-            mDelayed.add(replica);
-        } else if (replica.mOrdered == 0) {
-            mBehind.add(replica);
+    private void attach(TrackedEndpoint endpoint) {
+        if (endpoint.mVersion >= mLatestVersion) {
+            updateAvailability(endpoint.mVm.value());
+        } else if (endpoint.mOrderedVersion == 0 && endpoint.mBackoffUntil > 0) {
+            mInBackoff.add(endpoint);
+        } else if (endpoint.mOrderedVersion == 0) {
+            mOutdated.add(endpoint);
         }
     }
 
-    private void endLoad(Replica replica) {
-        if (replica.mOrdered == 0) {
+    private void endLoad(TrackedEndpoint endpoint) {
+        if (endpoint.mOrderedVersion == 0) {
             return;
         }
-        replica.mOrdered = 0;
-        mLoading.remove(replica.mVm);
-        mCopies.merge(replica.mSource, -1, Integer::sum);
-        updateSpare(replica.mSource);
+        endpoint.mOrderedVersion = 0;
+        mLoading.remove(endpoint.mVm);
+        mLoadsBySource.merge(endpoint.mSource, -1, Integer::sum);
+        updateAvailability(endpoint.mSource);
     }
 
-    private void updateSpare(String source) {
+    private void updateAvailability(String source) {
         if (source.equals(STORE)) {
             return;
         }
         VmId vm = VmId.of(source);
-        Replica holder = mReplicas.get(vm);
-        boolean spare =
-                holder != null
-                        && holder.mVersion >= mLatest
-                        && mCopies.getOrDefault(source, 0) < WeightPlanner.MAX_COPIES_PER_SOURCE;
-        if (spare) {
-            mSpareHolders.add(vm);
+        TrackedEndpoint endpoint = mEndpoints.get(vm);
+        boolean available =
+                endpoint != null
+                        && endpoint.mVersion >= mLatestVersion
+                        && mLoadsBySource.getOrDefault(source, 0)
+                                < WeightPlanner.MAX_COPIES_PER_SOURCE;
+        if (available) {
+            mAvailableSources.add(vm);
         } else {
-            mSpareHolders.remove(vm);
+            mAvailableSources.remove(vm);
         }
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/PlannerOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/PlannerOutputs.java
@@ -4,15 +4,18 @@
 import org.ebonyrun.base.id.VmId;
 import org.ebonyrun.core.lease.LeaseOutputs;
 
-/** What the weight planner does to the world. Called on the duty's thread; must not block. */
+/**
+ * Performs the actions that {@link WeightPlanner} decides on. Called on the planner's event loop;
+ * must not block.
+ */
 public interface PlannerOutputs extends LeaseOutputs {
-    /** Orders an agent to load a version. Returns false if the order could not be sent. */
+    /** Sends an agent an order to load a version. Returns false if it could not be sent. */
     boolean sendOrder(VmId vm, WeightMessage.LoadOrder order);
 
-    /** Asks the weight store for the newest version; it comes back as an event. */
+    /** Requests the newest version from the weight store; it comes back as an event. */
     void requestLatestVersion(ServiceName service);
 
-    /** Returns the store's address of a version. */
+    /** Returns the address from which the weight store serves a version. */
     String storeSource(ServiceName service, long version);
 
     /** Returns the address from which an endpoint serves a version that it has loaded. */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapMachine.java
@@ -7,90 +7,107 @@
 import org.ebonyrun.base.result.FaultCode;
 
 /**
- * Decides which orders an agent passes on to its endpoint.
+ * The agent's part in weight swaps: decides which load orders the agent passes on to its endpoint.
+ * ({@code org.ebonyrun.core.swap.SwapMachine} is another type: the planner's part in deployments
+ * without agents.)
  *
- * <p>Invariants: no order passes before the fence floor is known; none passes whose fence is below
- * the floor, whether or not the endpoint checks fences itself; the floor never decreases; one order
- * is under way at a time.
+ * <p>The fence floor is the highest fence known so far; an order with a lower fence comes from a
+ * planner that has been replaced.
  *
- * <p>Not thread safe; confined to the weight duty.
+ * <p>Invariants: no order is passed on before the fence floor is known; no order whose fence is
+ * below the floor is passed on, whether or not the endpoint checks fences itself; the floor never
+ * decreases; at most one order is in progress at a time.
+ *
+ * <p>Not thread safe; confined to the swap event loop.
  */
 public final class SwapMachine implements Ticking {
-    private static final long RETRY_MILLIS = 500;
+    private static final long RETRY_AFTER_MILLIS = 500;
 
     private final VmId mSelf;
     private final SwapOutputs mOutputs;
-    private boolean mFloorKnown;
-    private long mFloor;
+    private boolean mFenceFloorKnown;
+    private long mFenceFloor;
     private boolean mLoading;
     private long mLoadingVersion;
-    private long mLink;
+    // The link on which the result of the load is sent.
+    private long mResultLink;
 
     private SwapMachine(VmId self, SwapOutputs outputs) {
         mSelf = self;
         mOutputs = outputs;
     }
 
-    /** Creates a machine that does not know the fence floor. */
+    /** Creates a state machine whose fence floor is not known yet. */
     public static SwapMachine create(VmId self, SwapOutputs outputs) {
         return new SwapMachine(self, outputs);
     }
 
-    /** Learns the newest fence from the key-value service. */
+    /** Handles the newest fence in the key-value service. */
     public void onFenceFloor(long fence) {
-        mFloorKnown = true;
-        mFloor = Math.max(mFloor, fence);
+        mFenceFloorKnown = true;
+        mFenceFloor = Math.max(mFenceFloor, fence);
     }
 
     /** Returns whether the fence floor is known. */
     public boolean isFenceFloorKnown() {
-        return mFloorKnown;
+        return mFenceFloorKnown;
     }
 
-    /** Returns the lowest fence that passes. */
+    /** Returns the lowest fence whose orders are passed on. */
     public long fenceFloor() {
-        return mFloor;
+        return mFenceFloor;
     }
 
-    /** Returns whether an order is under way. */
+    /** Returns whether an order is in progress. */
     public boolean isLoading() {
         return mLoading;
     }
 
-    /** Handles an order. */
+    /**
+     * Handles an order. An order for the version that is already being loaded starts no second
+     * load, but the result is then sent on its link.
+     */
     public void onOrder(long link, WeightMessage.LoadOrder order) {
-        if (!mFloorKnown) {
-            refuse(link, order, FaultCode.PLATFORM_UNAVAILABLE, "the fence floor is not known");
+        if (!mFenceFloorKnown) {
+            refuse(link, order, FaultCode.PLATFORM_UNAVAILABLE, "the fence floor is not known yet");
             return;
         }
-        if (order.fence() < mFloor) {
-            refuse(link, order, FaultCode.FENCED, order.fence() + " is below " + mFloor);
+        if (order.fence() < mFenceFloor) {
+            refuse(
+                    link,
+                    order,
+                    FaultCode.FENCED,
+                    order.fence() + " is below the fence floor " + mFenceFloor);
             return;
         }
-        mFloor = order.fence();
+        mFenceFloor = order.fence();
         if (mLoading) {
             if (order.version() == mLoadingVersion) {
-                mLink = link;
+                mResultLink = link;
             } else {
-                refuse(link, order, FaultCode.CONFLICT, "version " + mLoadingVersion + " loads");
+                refuse(
+                        link,
+                        order,
+                        FaultCode.CONFLICT,
+                        "version " + mLoadingVersion + " is being loaded");
             }
             return;
         }
         mLoading = true;
         mLoadingVersion = order.version();
-        mLink = link;
+        mResultLink = link;
         mOutputs.setSwapping(true);
         mOutputs.load(order.version(), order.fence(), order.source());
     }
 
-    /** Handles the end of the endpoint's work on an order. */
+    /** Handles the outcome of a load at the endpoint. */
     public void onLoaded(long version, Optional<Fault> fault) {
         if (!mLoading || version != mLoadingVersion) {
             return;
         }
         mLoading = false;
         mOutputs.setSwapping(false);
-        mOutputs.send(mLink, new WeightMessage.LoadResult(version, fault.orElse(null)));
+        mOutputs.send(mResultLink, new WeightMessage.LoadResult(version, fault.orElse(null)));
     }
 
     @Override
@@ -99,7 +116,7 @@
     private void refuse(long link, WeightMessage.LoadOrder order, FaultCode code, String detail) {
         Fault fault =
                 Fault.notRun(code, "agent.load", mSelf.value(), detail)
-                        .withRetryAfterMillis(RETRY_MILLIS);
+                        .withRetryAfterMillis(RETRY_AFTER_MILLIS);
         mOutputs.send(link, new WeightMessage.LoadResult(order.version(), fault));
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapOutputs.java
@@ -1,13 +1,16 @@
 package org.ebonyrun.core.weights;
 
-/** What an agent's weight duty does to the world. Called on the duty's thread; must not block. */
+/**
+ * Performs the actions that the agent's {@link SwapMachine} decides on. Called on the swap event
+ * loop; must not block.
+ */
 public interface SwapOutputs {
-    /** Answers the entry on the given link. */
+    /** Sends a message to the entry on the given link. */
     void send(long link, WeightMessage message);
 
-    /** Has the endpoint load a version; the outcome comes back as an event. */
+    /** Tells the endpoint to load a version; the outcome comes back as an event. */
     void load(long version, long fence, String source);
 
-    /** Tells the attempt duty whether a swap is under way. */
+    /** Reports to the attempt event loop whether a swap is in progress. */
     void setSwapping(boolean swapping);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightMessage.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightMessage.java
@@ -4,10 +4,10 @@
 import org.ebonyrun.base.wire.Message;
 import org.jspecify.annotations.Nullable;
 
-/** Messages about the roll-out of weights. Immutable. */
+/** Messages between the planner and agents about loading weights. Immutable. */
 public sealed interface WeightMessage extends Message {
     /**
-     * Orders an agent to have its endpoint load a version.
+     * Orders an agent to load a version into its endpoint.
      *
      * @param version the version
      * @param fence the fence of the planner
@@ -16,10 +16,10 @@
     record LoadOrder(long version, long fence, String source) implements WeightMessage {}
 
     /**
-     * Tells how an order ended.
+     * Reports the outcome of an order.
      *
      * @param version the version that was ordered
-     * @param fault what went wrong; null on success
+     * @param fault the reason of the failure; null on success
      */
     record LoadResult(long version, @Nullable Fault fault) implements WeightMessage {}
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
@@ -16,27 +16,32 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Brings the newest weights of each engine service to its endpoints, a part of them at a time.
+ * Orders the endpoints of each engine service to load the newest weights, a limited number of them
+ * at a time.
  *
- * <p>Invariants: orders are given only under the service's planner lease and carry its fence; at
- * most {@link #MAX_SWAPPING_SHARE} of the endpoints swap at once, but at least one; at most {@link
- * #MAX_STORE_FETCHES} fetch from the rate-limited store at once, the others copy from endpoints
- * that have the version, each of which serves at most {@link #MAX_COPIES} at once.
+ * <p>Invariants: orders are sent only while this process holds the service's planner lease, and
+ * contain its fence; at most {@link #MAX_SWAPPING_SHARE} of the endpoints swap at the same time,
+ * but at least one may; at most {@link #MAX_STORE_FETCHES} of them fetch from the rate-limited
+ * weight store, and the others copy from endpoints that have the version, each of which serves at
+ * most {@link #MAX_COPIES} copies at the same time.
  *
- * <p>Not thread safe; confined to the weight duty.
+ * <p>Not thread safe; confined to the planner's event loop.
  */
 public final class WeightPlanner implements Ticking, LeaseListener {
-    /** Greatest share of a service's endpoints that swap at once. */
+    /** Maximum fraction of a service's endpoints that swap at the same time. */
     public static final double MAX_SWAPPING_SHARE = 0.34;
 
-    /** Greatest number of endpoints that fetch from the store at once. */
+    /** Maximum number of endpoints that fetch from the weight store at the same time. */
     public static final int MAX_STORE_FETCHES = 2;
 
-    /** Greatest number of endpoints that copy from one endpoint at once. */
+    /** Maximum number of endpoints that copy from one endpoint at the same time. */
     public static final int MAX_COPIES_PER_SOURCE = 2;
 
-    private static final long POLL_NANOS = Nanos.ofMillis(500);
-    private static final long ORDER_NANOS = Nanos.ofMillis(30_000);
+    // Interval between requests for the newest version in the weight store.
+    private static final long POLL_INTERVAL_NANOS = Nanos.ofMillis(500);
+    // An order without a result after this time counts as failed.
+    private static final long ORDER_TIMEOUT_NANOS = Nanos.ofMillis(30_000);
+    // Delay before an endpoint whose order failed is ordered again.
     private static final long BACKOFF_NANOS = Nanos.ofMillis(1_000);
 
     private final LeaseHolder mSelf;
@@ -48,12 +53,12 @@
         mOutputs = outputs;
     }
 
-    /** The roll-out of one service. Confined to the weight duty. */
+    /** The plan of one service: its lease and the state of its endpoints. */
     private static final class Plan {
         private final ServiceName mService;
         private final Lease mLease;
-        private final EndpointTracker mRollout = new EndpointTracker();
-        private long mNextPoll;
+        private final EndpointTracker mEndpoints = new EndpointTracker();
+        private long mNextPollAt;
 
         Plan(ServiceName service, Lease lease) {
             mService = service;
@@ -66,7 +71,7 @@
         return new WeightPlanner(self, outputs);
     }
 
-    /** Adds the services whose weights are planned. */
+    /** Sets the services whose weights are planned. */
     public void onServices(List<ServiceName> services) {
         mPlans.keySet().retainAll(services);
         for (ServiceName service : services) {
@@ -80,54 +85,59 @@
         return "planner/" + service;
     }
 
-    /** Takes note of the version that an endpoint reports. */
+    /**
+     * Handles the version that an endpoint reports.
+     *
+     * @param usable whether the endpoint can take work; one that can't is not counted and gets no
+     *     orders
+     */
     public void onVersion(VmId vm, ServiceName service, long version, boolean usable) {
         Plan plan = mPlans.get(service);
         if (plan == null) {
             return;
         }
         if (usable) {
-            plan.mRollout.onVersion(vm, version);
+            plan.mEndpoints.onVersion(vm, version);
         } else {
-            plan.mRollout.remove(vm);
+            plan.mEndpoints.remove(vm);
         }
     }
 
-    /** Handles the newest version in the store. */
+    /** Handles the newest version in the weight store. */
     public void onLatestVersion(ServiceName service, long version, long now) {
         Plan plan = mPlans.get(service);
         if (plan != null) {
-            plan.mRollout.onLatestVersion(version);
+            plan.mEndpoints.onLatestVersion(version);
             order(plan, now);
         }
     }
 
-    /** Handles the end of an order. */
+    /** Handles the result of an order. */
     public void onLoadResult(
             VmId vm, ServiceName service, WeightMessage.LoadResult result, long now) {
         Plan plan = mPlans.get(service);
-        if (plan == null || !plan.mRollout.isLoading(vm, result.version())) {
+        if (plan == null || !plan.mEndpoints.isLoading(vm, result.version())) {
             return;
         }
         if (result.fault() == null) {
-            plan.mRollout.onLoaded(vm, result.version());
+            plan.mEndpoints.onLoaded(vm, result.version());
         } else {
-            plan.mRollout.onFailed(vm, now + BACKOFF_NANOS);
+            plan.mEndpoints.onFailed(vm, now + BACKOFF_NANOS);
         }
         order(plan, now);
     }
 
     @Override
-    public void onLeaseRecord(String key, LeaseRecord reading, long now) {
-        Plan plan = byKey(key);
+    public void onLeaseRecord(String key, LeaseRecord leaseRecord, long now) {
+        Plan plan = findByLeaseKey(key);
         if (plan != null) {
-            plan.mLease.onRecord(reading, now);
+            plan.mLease.onRecord(leaseRecord, now);
         }
     }
 
     @Override
     public void onLeaseUnavailable(String key, long now) {
-        Plan plan = byKey(key);
+        Plan plan = findByLeaseKey(key);
         if (plan != null) {
             plan.mLease.onUnavailable(now);
         }
@@ -135,7 +145,7 @@
 
     @Override
     public void onLeaseRenewed(String key, boolean granted, long now) {
-        Plan plan = byKey(key);
+        Plan plan = findByLeaseKey(key);
         if (plan == null) {
             return;
         }
@@ -153,15 +163,15 @@
                 plan.mLease.acquireIfDue(now);
             }
             plan.mLease.renewIfDue(now);
-            if (plan.mLease.isHeld(now) && now - plan.mNextPoll >= 0) {
-                plan.mNextPoll = now + POLL_NANOS;
+            if (plan.mLease.isHeld(now) && now - plan.mNextPollAt >= 0) {
+                plan.mNextPollAt = now + POLL_INTERVAL_NANOS;
                 mOutputs.requestLatestVersion(plan.mService);
             }
             order(plan, now);
         }
     }
 
-    /** Returns the state for a dump. */
+    /** Returns the state of each plan, for the admin dump. */
     public List<PlanDump> dump(long now) {
         List<PlanDump> plans = new ArrayList<>();
         for (Plan plan : mPlans.values()) {
@@ -170,22 +180,22 @@
                             plan.mService,
                             plan.mLease.isHeld(now),
                             plan.mLease.fence(),
-                            plan.mRollout.latestVersion(),
-                            plan.mRollout.failureCount(),
-                            plan.mRollout.versions()));
+                            plan.mEndpoints.latestVersion(),
+                            plan.mEndpoints.failureCount(),
+                            plan.mEndpoints.versions()));
         }
         return plans;
     }
 
     /**
-     * The state of one service's roll-out for people.
+     * The state of the weights of one service, for the admin dump.
      *
      * @param service the service
-     * @param planner whether this process plans it
+     * @param planner whether this process holds the service's planner lease
      * @param fence the fence of its orders
      * @param latest the newest version in the store
-     * @param failures orders that failed
-     * @param versions the version of each endpoint
+     * @param failures the number of orders that failed
+     * @param versions the weight version of each endpoint
      */
     public record PlanDump(
             ServiceName service,
@@ -199,25 +209,25 @@
         if (!plan.mLease.isHeld(now)) {
             return;
         }
-        EndpointTracker rollout = plan.mRollout;
-        rollout.processTimeouts(now);
-        int allowed = Math.max(1, (int) (rollout.endpointCount() * MAX_SWAPPING_SHARE));
-        while (rollout.loadingCount() < allowed) {
-            VmId vm = rollout.nextOutdated();
-            String source = rollout.chooseSource();
+        EndpointTracker endpoints = plan.mEndpoints;
+        endpoints.processTimeouts(now);
+        int allowed = Math.max(1, (int) (endpoints.endpointCount() * MAX_SWAPPING_SHARE));
+        while (endpoints.loadingCount() < allowed) {
+            VmId vm = endpoints.nextOutdated();
+            String source = endpoints.chooseSource();
             if (vm == null || source == null) {
                 return;
             }
-            if (mOutputs.sendOrder(vm, loadOrder(plan, source))) {
-                rollout.onOrderSent(vm, source, now + ORDER_NANOS);
+            if (mOutputs.sendOrder(vm, newLoadOrder(plan, source))) {
+                endpoints.onOrderSent(vm, source, now + ORDER_TIMEOUT_NANOS);
             } else {
-                rollout.onFailed(vm, now + BACKOFF_NANOS);
+                endpoints.onFailed(vm, now + BACKOFF_NANOS);
             }
         }
     }
 
-    private WeightMessage.LoadOrder loadOrder(Plan plan, String from) {
-        long version = plan.mRollout.latestVersion();
+    private WeightMessage.LoadOrder newLoadOrder(Plan plan, String from) {
+        long version = plan.mEndpoints.latestVersion();
         String source =
                 from.equals(EndpointTracker.STORE)
                         ? mOutputs.storeSource(plan.mService, version)
@@ -225,7 +235,7 @@
         return new WeightMessage.LoadOrder(version, plan.mLease.fence(), source);
     }
 
-    private @Nullable Plan byKey(String key) {
+    private @Nullable Plan findByLeaseKey(String key) {
         return mPlans.values().stream()
                 .filter(plan -> plan.mLease.key().equals(key))
                 .findFirst()
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/CursorTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/CursorTest.java
@@ -15,22 +15,22 @@
     private static final TrainerId TRAINER = TrainerId.of("trainer");
 
     @Test
-    void survivesItsTextForm() {
+    void decodesItsEncodedForm() {
         Cursor cursor = cursor(3, 0, 2);
-        Cursor read = Cursor.decode(cursor.encode(), TRAINER, 7).orThrow();
-        assertThat(read.slots(), is(cursor.slots()));
-        assertThat(read.totalSlots(), is(3));
-        assertThat(read.isComplete(), is(false));
-        assertThat(read.withSlots(bits(1)).isComplete(), is(true));
+        Cursor decoded = Cursor.decode(cursor.encode(), TRAINER, 7).orThrow();
+        assertThat(decoded.slots(), is(cursor.slots()));
+        assertThat(decoded.totalSlots(), is(3));
+        assertThat(decoded.isComplete(), is(false));
+        assertThat(decoded.withSlots(bits(1)).isComplete(), is(true));
     }
 
     @Test
-    void anEmptyTextIsAnEmptyCursor() {
+    void decodesEmptyTextAsEmptyCursor() {
         assertThat(Cursor.decode("", TRAINER, 7).orThrow().slotCount(), is(0));
     }
 
     @Test
-    void refusesCursorsOfOtherStepsAndTrainers() {
+    void rejectsCursorsOfOtherStepsAndTrainers() {
         String text = cursor(3, 1).encode();
         assertThat(Cursor.decode(text, TRAINER, 8).isOk(), is(false));
         assertThat(Cursor.decode(text, TrainerId.of("other"), 7).isOk(), is(false));
@@ -38,12 +38,12 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"AAAA", "!!", "AAAAAAAAAAAAAAAAAAAA", "=", "ÄÄÄÄ"})
-    void refusesOtherText(String text) {
+    void rejectsMalformedText(String text) {
         assertThat(Cursor.decode(text, TRAINER, 7).isOk(), is(false));
     }
 
     @Property(tries = 100_000, seed = "1")
-    void neverThrowsOnHostileText(@ForAll String text) {
+    void neverThrowsOnMalformedText(@ForAll String text) {
         Cursor.decode(text, TRAINER, 7).fold(cursor -> 1, fault -> 0);
     }
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/FakeRolloutOutputs.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/FakeRolloutOutputs.java
@@ -12,7 +12,7 @@
 import org.ebonyrun.core.lease.LeaseHolder;
 import org.ebonyrun.core.routing.Work;
 
-/** Records what the rollout duty does. Not thread safe; used by one test. */
+/** Records the outputs of the rollout state machine. Not thread safe; used by one test. */
 final class FakeRolloutOutputs implements RolloutOutputs {
     final List<String> mStoreRequests = new ArrayList<>();
     final List<Work> mSubmittedWork = new ArrayList<>();
@@ -22,7 +22,7 @@
     final List<SampleKey> mReleasedSamples = new ArrayList<>();
     final Map<Long, StepReply> mReplies = new HashMap<>();
     final List<VmId> mForwardedTo = new ArrayList<>();
-    private long mIds;
+    private long mLastWorkId;
 
     @Override
     public void acquire(String key) {
@@ -101,6 +101,6 @@
 
     @Override
     public long nextWorkId() {
-        return ++mIds;
+        return ++mLastWorkId;
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/RolloutMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/RolloutMachineTest.java
@@ -37,12 +37,13 @@
     private static final String KEY = "owner/trainer";
     private static final LeaseHolder SELF = new LeaseHolder(VmId.of("a"), 1, "10.0.0.1", 1);
     private static final LeaseHolder OTHER = new LeaseHolder(VmId.of("b"), 2, "10.0.0.2", 1);
-    private static final long BOUND = 2;
+    private static final long MAX_STALENESS = 2;
 
-    private final FakeRolloutOutputs mOut = new FakeRolloutOutputs();
+    private final FakeRolloutOutputs mOutputs = new FakeRolloutOutputs();
     private final RolloutMachine mMachine =
-            RolloutMachine.create(SELF, group -> new byte[0], StragglerPolicy.hedgeTail(), mOut);
-    private long mRequests;
+            RolloutMachine.create(
+                    SELF, group -> new byte[0], StragglerPolicy.hedgeTail(), mOutputs);
+    private long mLastRequestId;
 
     @BeforeEach
     void configure() {
@@ -54,37 +55,37 @@
                         0,
                         0,
                         true,
-                        BOUND,
+                        MAX_STALENESS,
                         5_000,
                         null);
         mMachine.onConfig(new OperatorConfig(1, Map.of(), Map.of(CLASS, spec)));
     }
 
     @Test
-    void acceptsAStepOnlyOnceItIsStored() {
+    void acceptsStepOnlyAfterItsManifestIsStored() {
         long request = submit("p");
-        own();
+        acquireLease();
         mMachine.onManifestLoaded(TRAINER, 1, null, Optional.empty(), 0);
-        assertThat(mOut.mStoreRequests, hasItem("store 1"));
-        assertThat(mOut.mReplies.get(request) == null, is(true));
+        assertThat(mOutputs.mStoreRequests, hasItem("store 1"));
+        assertThat(mOutputs.mReplies.get(request) == null, is(true));
         mMachine.onManifestStored(manifest("p"), Optional.empty(), 0);
-        assertThat(requireNonNull(mOut.mReplies.get(request)).fault() == null, is(true));
-        assertThat(mOut.mSubmittedWork, hasSize(2));
+        assertThat(requireNonNull(mOutputs.mReplies.get(request)).fault() == null, is(true));
+        assertThat(mOutputs.mSubmittedWork, hasSize(2));
     }
 
     @Test
-    void aRepeatedSubmissionChangesNothingAndAnotherOneIsRefused() {
-        start();
+    void acceptsRepeatedSubmissionAndRefusesDifferentOne() {
+        startStep();
         long same = submit("p");
         long different = submit("q");
         assertThat(reply(same).fault() == null, is(true));
         assertThat(requireNonNull(reply(different).fault()).code(), is(FaultCode.CONFLICT));
-        assertThat(mOut.mSubmittedWork, hasSize(2));
+        assertThat(mOutputs.mSubmittedWork, hasSize(2));
     }
 
     @Test
-    void aLostAnswerIsGivenAgainAndATakenOneIsNot() {
-        start();
+    void deliversSamplesAgainUntilTheirCursorIsReceived() {
+        startStep();
         finish(VM, 0, 5);
         StepReply first = pull("", 5);
         StepReply again = pull("", 5);
@@ -94,89 +95,89 @@
         assertThat(second.samples(), hasSize(1));
         assertThat(second.samples().get(0).slot(), is(1));
         assertThat(pull(second.cursor(), 5).complete(), is(true));
-        assertThat(mOut.mReleasedSamples, contains(key(0), key(1)));
+        assertThat(mOutputs.mReleasedSamples, contains(key(0), key(1)));
     }
 
     @Test
-    void nothingIsReleasedBeforeItsCursorComesBack() {
-        start();
+    void releasesNoSampleBeforeItsCursorIsReceived() {
+        startStep();
         finish(VM, 0, 5);
         pull("", 5);
-        assertThat(mOut.mReleasedSamples, empty());
+        assertThat(mOutputs.mReleasedSamples, empty());
     }
 
     @Test
-    void aSampleThatHasBecomeTooOldRunsAgain() {
-        start();
+    void runsStaleSampleAgain() {
+        startStep();
         finish(VM, 0, 5);
-        long request = openPull("", 5 + BOUND + 1, 0);
-        assertThat(mOut.mReplies.get(request) == null, is(true));
-        assertThat(mOut.mReleasedSamples, contains(key(0)));
-        assertThat(mOut.mSubmittedWork, hasSize(3));
+        long request = openPull("", 5 + MAX_STALENESS + 1, 0);
+        assertThat(mOutputs.mReplies.get(request) == null, is(true));
+        assertThat(mOutputs.mReleasedSamples, contains(key(0)));
+        assertThat(mOutputs.mSubmittedWork, hasSize(3));
     }
 
     @Test
-    void aSecondOpenPullIsRefused() {
-        start();
+    void refusesSecondPullWhileOneIsPending() {
+        startStep();
         openPull("", 5, 0);
         long second = openPull("", 5, 0);
         assertThat(requireNonNull(reply(second).fault()).code(), is(FaultCode.CONFLICT));
     }
 
     @Test
-    void aPullThatNothingIsReadyForEndsEmptyInTime() {
-        start();
+    void repliesWithoutSamplesAfterWaitTimeOfPull() {
+        startStep();
         long request = openPull("", 5, 0);
         mMachine.onTick(Nanos.ofMillis(999));
-        assertThat(mOut.mReplies.get(request) == null, is(true));
+        assertThat(mOutputs.mReplies.get(request) == null, is(true));
         mMachine.onTick(Nanos.ofMillis(1_000));
         assertThat(reply(request).samples(), empty());
         assertThat(reply(request).remaining(), is(2));
     }
 
     @Test
-    void theFirstFinishedAttemptOfASlotStays() {
-        start();
+    void keepsFirstFinishedAttemptOfSlot() {
+        startStep();
         finish(VM, 0, 5);
         finish(OTHER_VM, 0, 5);
-        assertThat(mOut.mReleasedSamples, contains(key(0)));
-        assertThat(mOut.mCancelledWork, contains(mOut.mSubmittedWork.get(0).id()));
+        assertThat(mOutputs.mReleasedSamples, contains(key(0)));
+        assertThat(mOutputs.mCancelledWork, contains(mOutputs.mSubmittedWork.get(0).id()));
     }
 
     @Test
-    void aNewOwnerTakesOverWhatIsHeldAndRunsTheRest() {
+    void newOwnerKeepsHeldSamplesAndRunsOtherSlots() {
         takeOver();
-        held(VM, List.of(0), List.of());
+        reportHeld(VM, List.of(0), List.of());
         mMachine.onTick(Nanos.ofMillis(600));
-        assertThat(mOut.mSubmittedWork, hasSize(1));
-        assertThat(requireNonNull(mOut.mSubmittedWork.get(0).sample()).slot(), is(1));
+        assertThat(mOutputs.mSubmittedWork, hasSize(1));
+        assertThat(requireNonNull(mOutputs.mSubmittedWork.get(0).sample()).slot(), is(1));
     }
 
     @Test
-    void aSlotThatRanAtALostAgentRunsAgain() {
+    void runsSlotsOfLostAgentAgainAfterReconnectTimeout() {
         takeOver();
-        held(VM, List.of(0), List.of(1));
+        reportHeld(VM, List.of(0), List.of(1));
         mMachine.onTick(Nanos.ofMillis(60_000));
-        assertThat(mOut.mSubmittedWork, empty());
+        assertThat(mOutputs.mSubmittedWork, empty());
         mMachine.onAgentLost(VM, Nanos.ofMillis(60_000));
         mMachine.onTick(Nanos.ofMillis(62_999));
-        assertThat(mOut.mSubmittedWork, empty());
+        assertThat(mOutputs.mSubmittedWork, empty());
         mMachine.onTick(Nanos.ofMillis(63_000));
-        assertThat(mOut.mSubmittedWork, hasSize(2));
+        assertThat(mOutputs.mSubmittedWork, hasSize(2));
     }
 
     @Test
-    void passesRequestsOnToTheOwnerOnce() {
+    void forwardsRequestToOwnerOnlyOnce() {
         submit("p");
         mMachine.onLeaseRecord(KEY, new LeaseRecord(OTHER, 4), 0);
-        assertThat(mOut.mForwardedTo, contains(OTHER.vm()));
+        assertThat(mOutputs.mForwardedTo, contains(OTHER.vm()));
         mMachine.onRequest(99, new StepRequest.Cancel(TRAINER, 1), true, 0);
         assertThat(requireNonNull(reply(99).fault()).code(), is(FaultCode.OWNER_UNAVAILABLE));
     }
 
     @Test
-    void anOwnerThatWasReplacedLetsItsStepsGo() {
-        start();
+    void replacedOwnerDropsItsSteps() {
+        startStep();
         long request = openPull("", 5, 0);
         mMachine.onLeaseRenewed(KEY, false, 1);
         mMachine.onLeaseRecord(KEY, new LeaseRecord(OTHER, 4), 2);
@@ -185,8 +186,8 @@
     }
 
     @Test
-    void aCompleteCursorIsAnsweredWithoutTheStep() {
-        start();
+    void repliesToCompleteCursorAfterStepEnded() {
+        startStep();
         finish(VM, 0, 5);
         finish(VM, 1, 5);
         String cursor = pull(pull("", 5).cursor(), 5).cursor();
@@ -194,41 +195,41 @@
         assertThat(pull(cursor, 5).complete(), is(true));
     }
 
-    private void start() {
+    private void startStep() {
         submit("p");
-        own();
+        acquireLease();
         mMachine.onManifestLoaded(TRAINER, 1, null, Optional.empty(), 0);
         mMachine.onManifestStored(manifest("p"), Optional.empty(), 0);
-        mOut.mReplies.clear();
+        mOutputs.mReplies.clear();
     }
 
     private void takeOver() {
         openPull("", 5, 0);
-        own();
+        acquireLease();
         mMachine.onManifestLoaded(TRAINER, 1, manifest("p"), Optional.empty(), 0);
-        assertThat(mOut.mBroadcasts, contains(new AttemptMessage.HeldQuery(TRAINER, 1, 3)));
+        assertThat(mOutputs.mBroadcasts, contains(new AttemptMessage.HeldQuery(TRAINER, 1, 3)));
     }
 
-    private void own() {
+    private void acquireLease() {
         mMachine.onLeaseRecord(KEY, new LeaseRecord(SELF, 3), 0);
     }
 
     private long submit(String prompt) {
-        mMachine.onRequest(++mRequests, new StepRequest.Submit(manifest(prompt)), false, 0);
-        return mRequests;
+        mMachine.onRequest(++mLastRequestId, new StepRequest.Submit(manifest(prompt)), false, 0);
+        return mLastRequestId;
     }
 
     private long openPull(String cursor, long version, long now) {
         StepRequest pull = new StepRequest.Pull(TRAINER, 1, cursor, version, 64, 1_000);
-        mMachine.onRequest(++mRequests, pull, false, now);
-        return mRequests;
+        mMachine.onRequest(++mLastRequestId, pull, false, now);
+        return mLastRequestId;
     }
 
-    /** Pulls, and answers the fetches that follow. */
+    /** Pulls, responds to the fetches that the pull causes, and returns the reply. */
     private StepReply pull(String cursor, long version) {
-        mOut.mFetches.clear();
+        mOutputs.mFetches.clear();
         long request = openPull(cursor, version, 0);
-        for (SampleKey key : List.copyOf(mOut.mFetches)) {
+        for (SampleKey key : List.copyOf(mOutputs.mFetches)) {
             byte[] content = {(byte) ('a' + key.slot())};
             AttemptMessage answer = new AttemptMessage.SampleContent(key, content, info(5));
             mMachine.onMessage(VM, answer, 0);
@@ -240,7 +241,7 @@
         mMachine.onSampleFinished(vm, key(slot), info(version), 0);
     }
 
-    private void held(VmId vm, List<Integer> held, List<Integer> running) {
+    private void reportHeld(VmId vm, List<Integer> held, List<Integer> running) {
         List<AttemptMessage.HeldSample> samples =
                 held.stream()
                         .map(slot -> new AttemptMessage.HeldSample(key(slot), info(5)))
@@ -250,7 +251,7 @@
     }
 
     private StepReply reply(long request) {
-        return requireNonNull(mOut.mReplies.get(request));
+        return requireNonNull(mOutputs.mReplies.get(request));
     }
 
     private static SampleInfo info(long version) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/SwapMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/SwapMachineTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class SwapMachineTest {
-    private final List<Long> mLoads = new ArrayList<>();
+    private final List<Long> mLoadedVersions = new ArrayList<>();
     private final List<WeightMessage> mSent = new ArrayList<>();
     private final SwapMachine mMachine =
             SwapMachine.create(
@@ -27,7 +27,7 @@
 
                         @Override
                         public void load(long version, long fence, String source) {
-                            mLoads.add(version);
+                            mLoadedVersions.add(version);
                         }
 
                         @Override
@@ -35,28 +35,28 @@
                     });
 
     @Test
-    void passesNoOrderBeforeItKnowsItsFloor() {
+    void refusesOrderBeforeFenceFloorIsKnown() {
         order(2, 5);
-        assertThat(mLoads, empty());
-        assertThat(lastCode(), is(FaultCode.PLATFORM_UNAVAILABLE));
+        assertThat(mLoadedVersions, empty());
+        assertThat(lastFaultCode(), is(FaultCode.PLATFORM_UNAVAILABLE));
     }
 
     @Test
-    void refusesAnOrderBelowTheFloor() {
+    void refusesOrderBelowFenceFloor() {
         mMachine.onFenceFloor(6);
         order(2, 5);
-        assertThat(mLoads, empty());
-        assertThat(lastCode(), is(FaultCode.FENCED));
+        assertThat(mLoadedVersions, empty());
+        assertThat(lastFaultCode(), is(FaultCode.FENCED));
     }
 
     @Test
-    void theFloorRisesWithEachOrderAndNeverFalls() {
+    void raisesFenceFloorWithOrdersAndNeverLowersIt() {
         mMachine.onFenceFloor(1);
         order(2, 5);
         mMachine.onLoaded(2, Optional.empty());
         mMachine.onFenceFloor(3);
         order(3, 4);
-        assertThat(mLoads, contains(2L));
+        assertThat(mLoadedVersions, contains(2L));
         assertThat(mMachine.fenceFloor(), is(5L));
     }
 
@@ -65,17 +65,17 @@
         mMachine.onFenceFloor(0);
         order(2, 5);
         order(3, 5);
-        assertThat(lastCode(), is(FaultCode.CONFLICT));
+        assertThat(lastFaultCode(), is(FaultCode.CONFLICT));
         mMachine.onLoaded(2, Optional.empty());
         order(3, 5);
-        assertThat(mLoads, contains(2L, 3L));
+        assertThat(mLoadedVersions, contains(2L, 3L));
     }
 
     private void order(long version, long fence) {
         mMachine.onOrder(1, new WeightMessage.LoadOrder(version, fence, "source"));
     }
 
-    private FaultCode lastCode() {
+    private FaultCode lastFaultCode() {
         WeightMessage.LoadResult result = (WeightMessage.LoadResult) mSent.get(mSent.size() - 1);
         return Objects.requireNonNull(result.fault()).code();
     }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/WeightPlannerTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/weights/WeightPlannerTest.java
@@ -20,7 +20,7 @@
 class WeightPlannerTest {
     private static final ServiceName SERVICE = ServiceName.of("models");
     private static final LeaseHolder SELF = new LeaseHolder(VmId.of("entry"), 1, "10.0.0.1", 1);
-    private static final int REPLICAS = 12;
+    private static final int ENDPOINTS = 12;
 
     private final List<VmId> mOrdered = new ArrayList<>();
     private final List<String> mSources = new ArrayList<>();
@@ -56,38 +56,38 @@
                     });
 
     @BeforeEach
-    void replicas() {
+    void addEndpoints() {
         mPlanner.onServices(List.of(SERVICE));
-        for (int i = 0; i < REPLICAS; i++) {
+        for (int i = 0; i < ENDPOINTS; i++) {
             mPlanner.onVersion(vm(i), SERVICE, 1, true);
         }
     }
 
     @Test
-    void ordersNothingWithoutTheLease() {
+    void sendsNoOrdersWithoutLease() {
         mPlanner.onLatestVersion(SERVICE, 2, 0);
         assertThat(mOrdered, empty());
     }
 
     @Test
-    void fetchesFromTheStoreByFewAndCopiesForTheRest() {
-        hold();
+    void limitsStoreFetchesAndCopiesFromLoadedEndpoints() {
+        acquireLease();
         mPlanner.onLatestVersion(SERVICE, 2, 0);
         assertThat(mSources, is(List.of("store", "store")));
-        for (int done = 0; done < REPLICAS; done++) {
+        for (int done = 0; done < ENDPOINTS; done++) {
             VmId vm = mOrdered.get(done);
             mPlanner.onLoadResult(vm, SERVICE, new WeightMessage.LoadResult(2, null), done);
             int swapping = mOrdered.size() - done - 1;
-            assertThat(swapping <= REPLICAS * WeightPlanner.MAX_SWAPPING_SHARE, is(true));
+            assertThat(swapping <= ENDPOINTS * WeightPlanner.MAX_SWAPPING_SHARE, is(true));
         }
-        assertThat(mOrdered, hasSize(REPLICAS));
+        assertThat(mOrdered, hasSize(ENDPOINTS));
         long fromStore = mSources.stream().filter("store"::equals).count();
         assertThat(fromStore <= 4, is(true));
     }
 
     @Test
-    void ordersAgainAfterAFailure() {
-        hold();
+    void ordersAgainAfterFailedLoad() {
+        acquireLease();
         mPlanner.onLatestVersion(SERVICE, 2, 0);
         VmId first = mOrdered.get(0);
         Fault fault = Fault.failed(FaultCode.ENDPOINT_ERROR, "engine.load", "vm", "disk");
@@ -102,7 +102,7 @@
         assertThat(mOrdered.stream().filter(first::equals).count(), is(2L));
     }
 
-    private void hold() {
+    private void acquireLease() {
         mPlanner.onTick(0);
         mPlanner.onLeaseRecord(WeightPlanner.leaseKey(SERVICE), new LeaseRecord(SELF, 3), 0);
     }
