--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ExperimentCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ExperimentCommand.java
@@ -17,10 +17,10 @@
 import org.ebonyrun.standin.experiment.Deployment;
 import org.ebonyrun.standin.experiment.Experiment;
 import org.ebonyrun.standin.experiment.Figures;
-import org.ebonyrun.standin.experiment.Policies;
+import org.ebonyrun.standin.experiment.PolicySets;
 import org.ebonyrun.standin.experiment.Row;
 import org.ebonyrun.standin.experiment.Scenario;
-import org.ebonyrun.standin.virtual.PolicyChoice;
+import org.ebonyrun.standin.virtual.PolicySet;
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 import org.knowm.xchart.VectorGraphicsEncoder;
@@ -64,7 +64,7 @@
             return quick();
         }
         boolean ablations = options.getBoolean("ablations");
-        List<PolicyChoice> policies = ablations ? Policies.ablations() : Policies.compared();
+        List<PolicySet> policies = ablations ? PolicySets.ablations() : PolicySets.compared();
         List<Row> rows =
                 Experiment.run(
                         cells(Scenario.all(), policies),
@@ -85,10 +85,12 @@
 
     private static int quick() {
         List<Scenario> scenarios =
-                Scenario.all().stream().filter(s -> s.trouble() == Scenario.Trouble.NONE).toList();
+                Scenario.all().stream()
+                        .filter(s -> s.injectedFault() == Scenario.InjectedFault.NONE)
+                        .toList();
         List<Row> rows =
                 Experiment.run(
-                        cells(scenarios, List.of(PolicyChoice.standard())),
+                        cells(scenarios, List.of(PolicySet.standard())),
                         QUICK_SEEDS,
                         QUICK_SECONDS);
         System.out.print(table(rows));
@@ -122,12 +124,11 @@
         return List.of(Deployment.carpatica(), Deployment.tavua());
     }
 
-    private static List<Experiment.Cell> cells(
-            List<Scenario> scenarios, List<PolicyChoice> policies) {
+    private static List<Experiment.Cell> cells(List<Scenario> scenarios, List<PolicySet> policies) {
         List<Experiment.Cell> cells = new ArrayList<>();
         for (Deployment deployment : deployments()) {
             for (Scenario scenario : scenarios) {
-                for (PolicyChoice policy : policies) {
+                for (PolicySet policy : policies) {
                     cells.add(new Experiment.Cell(deployment, scenario, policy));
                 }
             }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/FaultsCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/FaultsCommand.java
@@ -15,7 +15,7 @@
 import org.ebonyrun.standin.fault.FaultMatrix;
 import org.ebonyrun.standin.fault.FaultOutcome;
 import org.ebonyrun.standin.virtual.FaultKind;
-import org.ebonyrun.standin.virtual.PathStep;
+import org.ebonyrun.standin.virtual.InjectionPoint;
 
 /** Runs the fault matrix and a sweep of pairs in virtual time. Stateless. */
 public final class FaultsCommand implements Command {
@@ -28,7 +28,7 @@
     /** A cell's outcomes, one for each occurrence that was tried. */
     private record CellResult(FaultMatrix.Cell cell, List<FaultOutcome> outcomes) {
         boolean isKept() {
-            return outcomes.stream().allMatch(FaultOutcome::isKept);
+            return outcomes.stream().allMatch(FaultOutcome::hasPassed);
         }
     }
 
@@ -48,7 +48,7 @@
     @Override
     public int run(Namespace options) throws IOException {
         List<CellResult> cells =
-                FaultMatrix.possibleCells().parallelStream()
+                FaultMatrix.applicableCells().parallelStream()
                         .map(FaultsCommand::runCell)
                         .collect(Collectors.toList());
         long first = options.getLong("first_pair");
@@ -87,22 +87,23 @@
         List<String> broken = new ArrayList<>();
         for (CellResult result : cells) {
             for (FaultOutcome outcome : result.outcomes()) {
-                if (!outcome.isKept()) {
+                if (!outcome.hasPassed()) {
                     broken.add(result.cell() + " seed " + outcome.seed() + " " + first(outcome));
                 }
             }
         }
         for (int i = 0; i < pairs.size(); i++) {
-            if (!pairs.get(i).isKept()) {
+            if (!pairs.get(i).hasPassed()) {
                 long seed = firstPair + i;
-                broken.add("pair " + seed + " " + FaultMatrix.pair(seed) + first(pairs.get(i)));
+                broken.add(
+                        "pair " + seed + " " + FaultMatrix.faultPair(seed) + first(pairs.get(i)));
             }
         }
         return broken;
     }
 
     private static List<String> first(FaultOutcome outcome) {
-        return outcome.broken().stream().limit(3).toList();
+        return outcome.violations().stream().limit(3).toList();
     }
 
     private static String page(List<CellResult> results) {
@@ -120,7 +121,7 @@
         for (FaultKind kind : FaultKind.values()) {
             text.append("## ").append(kind).append("\n\n");
             text.append("| path | step | outcome | struck | seed |\n|---|---|---|---|---|\n");
-            for (PathStep step : PathStep.values()) {
+            for (InjectionPoint step : InjectionPoint.values()) {
                 appendRow(text, new FaultMatrix.Cell(step, kind), byCell);
             }
             text.append('\n');
@@ -130,13 +131,16 @@
 
     private static void appendRow(
             StringBuilder text, FaultMatrix.Cell cell, Map<FaultMatrix.Cell, CellResult> byCell) {
-        text.append("| ").append(cell.step().path()).append(" | ").append(cell.step());
+        text.append("| ")
+                .append(cell.injectionPoint().path())
+                .append(" | ")
+                .append(cell.injectionPoint());
         CellResult result = byCell.get(cell);
         if (result == null) {
-            text.append(" | — ").append(cell.impossible().orElse("")).append(" | | |\n");
+            text.append(" | — ").append(cell.notApplicableReason().orElse("")).append(" | | |\n");
             return;
         }
-        int struck = result.outcomes().stream().mapToInt(FaultOutcome::struck).sum();
+        int struck = result.outcomes().stream().mapToInt(FaultOutcome::injectedFaults).sum();
         String outcome = result.isKept() ? "kept" : "BROKEN";
         text.append(" | ").append(struck == 0 ? "did not occur" : outcome);
         text.append(" | ").append(struck).append(" | ");
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/Demo.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/Demo.java
@@ -64,7 +64,7 @@
                     out,
                     second
                             + " s: steps "
-                            + trainer.completed()
+                            + trainer.completedSteps()
                             + ", samples "
                             + trainer.samples().size());
         }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoAudit.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoAudit.java
@@ -43,7 +43,7 @@
         long missing = missing();
         check(mCalls.mWrongAnswers.isEmpty(), "wrong or partial answers: " + mCalls.mWrongAnswers);
         check(missing == 0, missing + " samples are missing");
-        check(mTrainer.completed() > 0, "no step was completed: " + mTrainer.lastFault());
+        check(mTrainer.completedSteps() > 0, "no step was completed: " + mTrainer.lastError());
         check(mCalls.mAnswered.get() > 0, "no call was answered");
         List<Long> idle = mTrainer.idleMillis();
         return new DemoReport(
@@ -58,7 +58,7 @@
                         + mCalls.mSyncUnknown.size(),
                 mSyncRuns.size(),
                 twice,
-                mTrainer.completed(),
+                mTrainer.completedSteps(),
                 mTrainer.samples().size(),
                 duplicates,
                 missing,
@@ -115,9 +115,9 @@
             bySteps.computeIfAbsent(sample.step(), key -> new HashSet<>()).add(sample.slot());
         }
         long missing = 0;
-        for (long step = 0; step < mTrainer.completed(); step++) {
+        for (long step = 0; step < mTrainer.completedSteps(); step++) {
             int got = bySteps.getOrDefault(step, Set.of()).size();
-            missing += mTrainer.settings().samples() - got;
+            missing += mTrainer.settings().samplesPerStep() - got;
         }
         return missing;
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinEngine.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinEngine.java
@@ -113,7 +113,7 @@
     }
 
     /** Returns how many orders were obeyed although a higher fence had been seen before. */
-    public long fencedOrders() {
+    public long acceptedStaleOrders() {
         return mFencedOrders;
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Deployment.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Deployment.java
@@ -17,7 +17,7 @@
  */
 public record Deployment(
         String name,
-        String engines,
+        String engineService,
         int engineCount,
         List<String> domains,
         long callTargetMillis,
@@ -80,12 +80,12 @@
     /** Returns the operators' configuration. */
     String config() {
         StringBuilder text = new StringBuilder();
-        text.append("services: {").append(engines).append(": {kind: engine}}\nclasses:\n");
-        text.append("  lookup: {service: ").append(engines).append(", kind: interactive, ");
+        text.append("services: {").append(engineService).append(": {kind: engine}}\nclasses:\n");
+        text.append("  lookup: {service: ").append(engineService).append(", kind: interactive, ");
         text.append("lateness: {quantile: 0.99, within: ").append(callTargetMillis);
         text.append("ms}}\n");
         for (int i = 0; i < trainers; i++) {
-            text.append("  rollout-").append(i).append(": {service: ").append(engines);
+            text.append("  rollout-").append(i).append(": {service: ").append(engineService);
             text.append(", kind: rollout, staleness: ").append(stalenessVersions);
             text.append(" versions, trainer_idle: ").append(trainerIdleMillis).append("ms}\n");
         }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Experiment.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Experiment.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
-import org.ebonyrun.standin.virtual.PolicyChoice;
+import org.ebonyrun.standin.virtual.PolicySet;
 
 /** Runs deployments, scenarios and policies over seeds. Stateless and thread safe. */
 public final class Experiment {
@@ -16,7 +16,7 @@
      * @param scenario the scenario
      * @param policy the policy
      */
-    public record Cell(Deployment deployment, Scenario scenario, PolicyChoice policy) {}
+    public record Cell(Deployment deployment, Scenario scenario, PolicySet policy) {}
 
     /** Runs each cell over the given number of seeds, on all processors. */
     public static List<Row> run(List<Cell> cells, int seeds, int seconds) {
@@ -35,7 +35,7 @@
                                                         cell.policy(),
                                                         seed,
                                                         seconds)
-                                                .play())
+                                                .run())
                         .toList();
         Figures mean =
                 new Figures(
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/ExperimentRun.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/ExperimentRun.java
@@ -10,16 +10,16 @@
 import org.ebonyrun.base.id.ServiceName;
 import org.ebonyrun.base.id.TrainerId;
 import org.ebonyrun.base.time.Nanos;
-import org.ebonyrun.standin.virtual.CallEnd;
+import org.ebonyrun.standin.virtual.CallOutcome;
 import org.ebonyrun.standin.virtual.FaultPlan;
-import org.ebonyrun.standin.virtual.PolicyChoice;
+import org.ebonyrun.standin.virtual.PolicySet;
 import org.ebonyrun.standin.virtual.VirtualAgent;
 import org.ebonyrun.standin.virtual.VirtualCall;
+import org.ebonyrun.standin.virtual.VirtualDeployment;
 import org.ebonyrun.standin.virtual.VirtualRequest;
 import org.ebonyrun.standin.virtual.VirtualRun;
 import org.ebonyrun.standin.virtual.VirtualSample;
 import org.ebonyrun.standin.virtual.VirtualTrainer;
-import org.ebonyrun.standin.virtual.VirtualWorld;
 
 /**
  * One run of a deployment under a scenario and a policy.
@@ -44,7 +44,7 @@
     private final Deployment mDeployment;
     private final Scenario mScenario;
     private final long mLength;
-    private final VirtualWorld mWorld;
+    private final VirtualDeployment mWorld;
     private final Random mRandom;
     private final List<VirtualTrainer> mTrainers = new ArrayList<>();
     private final Histogram mLateness = new Histogram(3_600_000, 3);
@@ -56,18 +56,19 @@
     private int mTurn;
 
     ExperimentRun(
-            Deployment deployment, Scenario scenario, PolicyChoice policy, long seed, int seconds) {
+            Deployment deployment, Scenario scenario, PolicySet policy, long seed, int seconds) {
         mDeployment = deployment;
         mScenario = scenario;
         mLength = Nanos.ofMillis(seconds * 1_000L);
         mRandom = new Random(seed);
-        mWorld = VirtualWorld.create(seed, FaultPlan.none(), policy);
+        mWorld = VirtualDeployment.create(seed, FaultPlan.none(), policy);
         for (String domain : deployment.domains()) {
             mWorld.addEntry("entry-" + domain, domain);
         }
         for (int i = 0; i < deployment.engineCount(); i++) {
             String domain = deployment.domains().get(i % deployment.domains().size());
-            mWorld.addAgent("sampler-" + i, domain, deployment.engines(), deployment.engineModel());
+            mWorld.addAgent(
+                    "sampler-" + i, domain, deployment.engineService(), deployment.engineModel());
         }
         for (int i = 0; i < deployment.trainers(); i++) {
             mTrainers.add(trainer(i));
@@ -75,20 +76,21 @@
     }
 
     /** Plays the run and returns its figures. */
-    Figures play() {
-        long start = mWorld.time().now();
+    Figures run() {
+        long start = mWorld.clock().now();
         mWorld.start();
-        mWorld.time()
-                .after(
+        mWorld.clock()
+                .schedule(
                         Nanos.ofMillis(500),
-                        () -> mWorld.applyBalanced(0, mDeployment.config(), "n", result -> {}));
-        mWorld.time().after(Nanos.ofMillis(2_000), () -> mTrainers.forEach(VirtualTrainer::start));
-        mWorld.time().after(Nanos.ofMillis(2_000), () -> nextCall(start));
-        mWorld.time().after(WARM_UP + mLength / 3, this::strike);
-        if (mScenario.trouble() == Scenario.Trouble.SLOW_ENGINE) {
+                        () -> mWorld.applyConfig(0, mDeployment.config(), "n", result -> {}));
+        mWorld.clock()
+                .schedule(Nanos.ofMillis(2_000), () -> mTrainers.forEach(VirtualTrainer::start));
+        mWorld.clock().schedule(Nanos.ofMillis(2_000), () -> nextCall(start));
+        mWorld.clock().schedule(WARM_UP + mLength / 3, this::strike);
+        if (mScenario.injectedFault() == Scenario.InjectedFault.SLOW_ENGINE) {
             mWorld.slowEndpoint(mWorld.agents().get(0), SLOW_FACTOR);
         }
-        mWorld.time().runUntil(start + WARM_UP + mLength);
+        mWorld.clock().runUntil(start + WARM_UP + mLength);
         return figures();
     }
 
@@ -104,10 +106,10 @@
         Random lengths = new Random(mRandom.nextLong());
         return VirtualTrainer.create(
                 mWorld,
-                new VirtualTrainer.Plan(
+                new VirtualTrainer.Options(
                         TrainerId.of("trainer-" + index),
                         ClassName.of("rollout-" + index),
-                        ServiceName.of(mDeployment.engines()),
+                        ServiceName.of(mDeployment.engineService()),
                         groups,
                         SAMPLES_PER_GROUP,
                         Deployment.PROMPT_TOKENS,
@@ -118,10 +120,10 @@
 
     private void strike() {
         VirtualAgent first = mWorld.agents().get(0);
-        switch (mScenario.trouble()) {
+        switch (mScenario.injectedFault()) {
             case ENGINE_CRASH -> mWorld.crashEndpoint(first, CRASH_NANOS);
-            case STORE_OUTAGE -> mWorld.storeOutage(OUTAGE_NANOS);
-            case DOMAIN_LOST -> mWorld.loseDomain(mDeployment.domains().get(0));
+            case STORE_OUTAGE -> mWorld.startStoreOutage(OUTAGE_NANOS);
+            case DOMAIN_LOST -> mWorld.failDomain(mDeployment.domains().get(0));
             default -> {
                 // Nothing goes wrong at this moment.
             }
@@ -132,11 +134,11 @@
         double perSecond =
                 mScenario.load() * CALL_SHARE * mDeployment.capacity() / Deployment.CALL_TOKENS;
         double gap = -Math.log(1 - mRandom.nextDouble()) / perSecond;
-        mWorld.time()
-                .after(
+        mWorld.clock()
+                .schedule(
                         (long) (gap * Nanos.PER_SECOND),
                         () -> {
-                            call(mWorld.time().now() - start >= WARM_UP);
+                            call(mWorld.clock().now() - start >= WARM_UP);
                             nextCall(start);
                         });
     }
@@ -144,17 +146,17 @@
     private void call(boolean counted) {
         String prompt = "call-" + mTurn;
         int tokens = length(mRandom, Deployment.CALL_TOKENS);
-        long begin = mWorld.time().now();
+        long begin = mWorld.clock().now();
         VirtualCall call =
                 new VirtualCall(
                         ClassName.of("lookup"),
                         new VirtualRequest(prompt, prompt, Deployment.CALL_TOKENS, tokens),
                         true,
                         null);
-        mWorld.callBalanced(mTurn++, call, end -> onEnd(end, begin, counted));
+        mWorld.sendCall(mTurn++, call, end -> onEnd(end, begin, counted));
     }
 
-    private void onEnd(CallEnd end, long begin, boolean counted) {
+    private void onEnd(CallOutcome end, long begin, boolean counted) {
         if (end.text() != null) {
             mAnsweredRuns.add(end.text().substring(0, end.text().indexOf(':')));
         }
@@ -163,7 +165,7 @@
         }
         mCalls++;
         if (end.text() != null) {
-            long millis = Nanos.toMillis(mWorld.time().now() - begin);
+            long millis = Nanos.toMillis(mWorld.clock().now() - begin);
             mAnswered++;
             mLateness.recordValue(Math.min(millis, 3_600_000));
             if (millis <= mDeployment.callTargetMillis()) {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Scenario.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Scenario.java
@@ -9,9 +9,9 @@
  * @param load offered load as a multiple of the engines' capacity
  * @param trouble what goes wrong
  */
-public record Scenario(String name, double load, Trouble trouble) {
+public record Scenario(String name, double load, InjectedFault injectedFault) {
     /** What goes wrong in a run, a third of the way in. */
-    public enum Trouble {
+    public enum InjectedFault {
         /** Nothing. */
         NONE,
         /** One engine is three times slower from the beginning. */
@@ -27,13 +27,13 @@
     /** Returns the scenarios of a whole experiment. */
     public static List<Scenario> all() {
         return List.of(
-                new Scenario("load 0.7", 0.7, Trouble.NONE),
-                new Scenario("load 1.0", 1.0, Trouble.NONE),
-                new Scenario("load 1.5", 1.5, Trouble.NONE),
-                new Scenario("load 2.0", 2.0, Trouble.NONE),
-                new Scenario("slow engine, 0.7", 0.7, Trouble.SLOW_ENGINE),
-                new Scenario("engine crash, 0.7", 0.7, Trouble.ENGINE_CRASH),
-                new Scenario("store outage, 0.7", 0.7, Trouble.STORE_OUTAGE),
-                new Scenario("domain lost, 0.6", 0.6, Trouble.DOMAIN_LOST));
+                new Scenario("load 0.7", 0.7, InjectedFault.NONE),
+                new Scenario("load 1.0", 1.0, InjectedFault.NONE),
+                new Scenario("load 1.5", 1.5, InjectedFault.NONE),
+                new Scenario("load 2.0", 2.0, InjectedFault.NONE),
+                new Scenario("slow engine, 0.7", 0.7, InjectedFault.SLOW_ENGINE),
+                new Scenario("engine crash, 0.7", 0.7, InjectedFault.ENGINE_CRASH),
+                new Scenario("store outage, 0.7", 0.7, InjectedFault.STORE_OUTAGE),
+                new Scenario("domain lost, 0.6", 0.6, InjectedFault.DOMAIN_LOST));
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/CallRecord.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/CallRecord.java
@@ -1,6 +1,6 @@
 package org.ebonyrun.standin.fault;
 
-import org.ebonyrun.standin.virtual.CallEnd;
+import org.ebonyrun.standin.virtual.CallOutcome;
 import org.ebonyrun.standin.virtual.VirtualCall;
 
 /**
@@ -11,4 +11,4 @@
  * @param tookNanos how long its end took
  * @param end how it ended
  */
-public record CallRecord(VirtualCall call, long at, long tookNanos, CallEnd end) {}
+public record CallRecord(VirtualCall call, long sentAt, long durationNanos, CallOutcome outcome) {}
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultAudit.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultAudit.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.ebonyrun.standin.virtual.CallEnd;
+import org.ebonyrun.standin.virtual.CallOutcome;
 import org.ebonyrun.standin.virtual.FaultPlan;
+import org.ebonyrun.standin.virtual.VirtualDeployment;
 import org.ebonyrun.standin.virtual.VirtualRun;
 import org.ebonyrun.standin.virtual.VirtualSample;
 import org.ebonyrun.standin.virtual.VirtualTrainer;
-import org.ebonyrun.standin.virtual.VirtualWorld;
 
 /**
  * Checks the nine promises of the brief against the logs of endpoints, callers and trainers, and
@@ -24,20 +24,20 @@
 
     private static final double MIN_ANSWERED = 0.5;
 
-    private final VirtualWorld mWorld;
+    private final VirtualDeployment mWorld;
     private final VirtualTrainer mTrainer;
     private final List<CallRecord> mCalls;
-    private final ConfigLog mConfigs;
+    private final VirtualOperators mConfigs;
     private final FaultPlan mPlan;
     private final Map<String, VirtualRun> mRuns = new HashMap<>();
     private final Map<String, Integer> mRunsByPrompt = new HashMap<>();
     private final List<String> mBroken = new ArrayList<>();
 
     FaultAudit(
-            VirtualWorld world,
+            VirtualDeployment world,
             VirtualTrainer trainer,
             List<CallRecord> calls,
-            ConfigLog configs,
+            VirtualOperators configs,
             FaultPlan plan) {
         mWorld = world;
         mTrainer = trainer;
@@ -72,7 +72,7 @@
             String slot = "sample " + sample.step() + "/" + sample.slot();
             expect(slots.add(slot), "3 " + slot + " was delivered twice");
             expect(
-                    sample.age() <= FaultScenario.STALENESS,
+                    sample.age() <= FaultScenario.MAX_STALENESS,
                     "2 " + slot + " is " + sample.age() + " versions old");
             VirtualRun run = mRuns.get(runId(sample.text()));
             expect(run != null, "4 " + slot + " is of no run");
@@ -88,14 +88,14 @@
         for (long step = 0; step < mTrainer.idleNanos().size(); step++) {
             int count = counts.getOrDefault(step, 0);
             expect(
-                    count == mTrainer.plan().samples(),
+                    count == mTrainer.options().samplesPerStep(),
                     "3 step " + step + " completed with " + count + " samples");
         }
     }
 
     private void checkCalls() {
         for (CallRecord record : mCalls) {
-            CallEnd end = record.end();
+            CallOutcome end = record.outcome();
             String prompt = record.call().request().prompt();
             if (end.text() != null) {
                 VirtualRun run = mRuns.get(runId(end.text()));
@@ -118,21 +118,25 @@
             }
             String prompt = record.call().request().prompt();
             int runs = mRunsByPrompt.getOrDefault(prompt, 0);
-            String key = record.call().key() == null ? prompt : record.call().key();
+            String key =
+                    record.call().idempotencyKey() == null
+                            ? prompt
+                            : record.call().idempotencyKey();
             byKey.merge(key, runs, Integer::sum);
         }
         byKey.forEach((key, runs) -> expect(runs <= 1, "6 " + key + " ran " + runs + " times"));
     }
 
     private void checkProcesses() {
-        mBroken.addAll(mWorld.brokenByProcesses(mConfigs.highest()));
-        mConfigs.wrong().forEach(text -> mBroken.add("9 " + text));
-        if (mPlan.struck() == 0) {
-            mConfigs.notInForce().forEach(text -> mBroken.add("9 after 14 s " + text));
+        mBroken.addAll(mWorld.findProcessViolations(mConfigs.highestAcceptedVersion()));
+        mConfigs.findViolations().forEach(text -> mBroken.add("9 " + text));
+        if (mPlan.injectedCount() == 0) {
+            mConfigs.lateProcesses().forEach(text -> mBroken.add("9 after 14 s " + text));
             for (CallRecord record : mCalls) {
-                boolean interrupted = record.end().text() == null && !record.end().isNotRun();
+                boolean interrupted =
+                        record.outcome().text() == null && !record.outcome().isNotRun();
                 String prompt = record.call().request().prompt();
-                expect(!interrupted, "8 " + prompt + " was interrupted: " + record.end());
+                expect(!interrupted, "8 " + prompt + " was interrupted: " + record.outcome());
             }
         }
     }
@@ -141,14 +145,14 @@
         expect(mTrainer.isStopped(), "progress: the trainer waits for ever");
         int steps = mTrainer.idleNanos().size();
         expect(steps >= MIN_STEPS, "progress: only " + steps + " steps");
-        long answered = mCalls.stream().filter(call -> call.end().text() != null).count();
+        long answered = mCalls.stream().filter(call -> call.outcome().text() != null).count();
         expect(
                 answered >= mCalls.size() * MIN_ANSWERED,
                 "progress: only " + answered + " of " + mCalls.size() + " calls answered");
     }
 
     private static boolean isWhole(VirtualRun run, String text) {
-        return run.isFinished() && run.text(FaultScenario.TOKENS_PER_PIECE).equals(text);
+        return run.isFinished() && run.completeText(FaultScenario.TOKENS_PER_PIECE).equals(text);
     }
 
     private static String runId(String text) {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultOutcome.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultOutcome.java
@@ -13,9 +13,14 @@
  * @param broken promises that were broken; empty if all were kept
  */
 public record FaultOutcome(
-        long seed, int struck, int calls, int answered, int steps, List<String> broken) {
+        long seed,
+        int injectedFaults,
+        int calls,
+        int answered,
+        int steps,
+        List<String> violations) {
     /** Returns whether every promise was kept. */
-    public boolean isKept() {
-        return broken.isEmpty();
+    public boolean hasPassed() {
+        return violations.isEmpty();
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultScenario.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultScenario.java
@@ -9,13 +9,13 @@
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.standin.virtual.EngineModel;
 import org.ebonyrun.standin.virtual.FaultPlan;
-import org.ebonyrun.standin.virtual.PolicyChoice;
+import org.ebonyrun.standin.virtual.PolicySet;
 import org.ebonyrun.standin.virtual.VirtualAgent;
 import org.ebonyrun.standin.virtual.VirtualCall;
+import org.ebonyrun.standin.virtual.VirtualDeployment;
 import org.ebonyrun.standin.virtual.VirtualEntry;
 import org.ebonyrun.standin.virtual.VirtualRequest;
 import org.ebonyrun.standin.virtual.VirtualTrainer;
-import org.ebonyrun.standin.virtual.VirtualWorld;
 
 /**
  * One run of every path under a plan of faults: calls, non-idempotent calls, a trainer's steps,
@@ -26,7 +26,7 @@
 public final class FaultScenario {
     static final String ENGINES = "model-servers";
     static final String PLAIN = "queue-app";
-    static final long STALENESS = 2;
+    static final long MAX_STALENESS = 2;
     static final int TOKENS_PER_PIECE = EngineModel.smallEngine(true).tokensPerPiece();
 
     private static final ClassName LOOKUP = ClassName.of("lookup");
@@ -61,11 +61,11 @@
 
     private final long mSeed;
     private final FaultPlan mPlan;
-    private final VirtualWorld mWorld;
+    private final VirtualDeployment mWorld;
     private final Random mRandom;
     private final VirtualTrainer mTrainer;
     private final List<CallRecord> mCalls = new ArrayList<>();
-    private final ConfigLog mConfigs;
+    private final VirtualOperators mConfigs;
     private int mNumbers;
     private int mTurns;
 
@@ -73,7 +73,7 @@
         mSeed = seed;
         mPlan = plan;
         mRandom = new Random(seed);
-        mWorld = VirtualWorld.create(seed, plan, PolicyChoice.standard());
+        mWorld = VirtualDeployment.create(seed, plan, PolicySet.standard());
         mWorld.addEntry("entry-1", "hall-a");
         mWorld.addEntry("entry-2", "hall-b");
         mWorld.addEntry("entry-3", "hall-c");
@@ -83,11 +83,11 @@
         }
         mWorld.addAgent("queue-0", "hall-a", PLAIN, EngineModel.smallService());
         mWorld.addAgent("queue-1", "hall-b", PLAIN, EngineModel.smallService());
-        mConfigs = new ConfigLog(mWorld);
+        mConfigs = new VirtualOperators(mWorld);
         mTrainer =
                 VirtualTrainer.create(
                         mWorld,
-                        new VirtualTrainer.Plan(
+                        new VirtualTrainer.Options(
                                 TrainerId.of("trainer"),
                                 ClassName.of("rollout"),
                                 ServiceName.of(ENGINES),
@@ -107,7 +107,7 @@
     }
 
     private void play() {
-        long start = mWorld.time().now();
+        long start = mWorld.clock().now();
         mWorld.start();
         at(500, () -> mConfigs.apply(0, CONFIG.formatted(1_000)));
         at(1_500, mTrainer::start);
@@ -119,7 +119,7 @@
         at(16_000, () -> drain(mWorld.agents().get(3)));
         at(21_000, () -> drain(mWorld.entries().get(2)));
         at(Nanos.toMillis(LOAD_END), this::stopTrainer);
-        mWorld.time().runUntil(start + RUN_END);
+        mWorld.clock().runUntil(start + RUN_END);
     }
 
     /** Stops the trainer once it has completed enough steps to judge. */
@@ -133,10 +133,10 @@
 
     private FaultOutcome audit() {
         List<String> broken = new FaultAudit(mWorld, mTrainer, mCalls, mConfigs, mPlan).check();
-        int answered = (int) mCalls.stream().filter(call -> call.end().text() != null).count();
+        int answered = (int) mCalls.stream().filter(call -> call.outcome().text() != null).count();
         return new FaultOutcome(
                 mSeed,
-                mPlan.struck(),
+                mPlan.injectedCount(),
                 mCalls.size(),
                 answered,
                 mTrainer.idleNanos().size(),
@@ -144,13 +144,13 @@
     }
 
     private void at(long millis, Runnable action) {
-        mWorld.time().after(Nanos.ofMillis(millis), action);
+        mWorld.clock().schedule(Nanos.ofMillis(millis), action);
     }
 
     private void repeat(long start, long period, Runnable action) {
-        if (mWorld.time().now() - start < LOAD_END) {
+        if (mWorld.clock().now() - start < LOAD_END) {
             action.run();
-            mWorld.time().after(period, () -> repeat(start, period, action));
+            mWorld.clock().schedule(period, () -> repeat(start, period, action));
         }
     }
 
@@ -176,7 +176,7 @@
                 call,
                 () -> {
                     if (attempt + 1 < SYNC_TRIES) {
-                        mWorld.time().after(RETRY_NANOS, () -> trySync(key, attempt + 1));
+                        mWorld.clock().schedule(RETRY_NANOS, () -> trySync(key, attempt + 1));
                     }
                 });
     }
@@ -186,12 +186,12 @@
     }
 
     private void send(VirtualCall call, Runnable onNoAnswer) {
-        long at = mWorld.time().now();
-        mWorld.callBalanced(
+        long at = mWorld.clock().now();
+        mWorld.sendCall(
                 mTurns++,
                 call,
                 end -> {
-                    mCalls.add(new CallRecord(call, at, mWorld.time().now() - at, end));
+                    mCalls.add(new CallRecord(call, at, mWorld.clock().now() - at, end));
                     if (end.text() == null) {
                         onNoAnswer.run();
                     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/ConfigLog.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/VirtualOperators.java
@@ -10,22 +10,22 @@
 import org.ebonyrun.base.result.Outcome;
 import org.ebonyrun.base.time.Nanos;
 import org.ebonyrun.daemon.store.ConfigStore;
-import org.ebonyrun.standin.virtual.VirtualWorld;
+import org.ebonyrun.standin.virtual.VirtualDeployment;
 
 /** Operators who change the configuration, and what they were told. Not thread safe. */
-final class ConfigLog {
+final class VirtualOperators {
     private static final long RETRY_NANOS = Nanos.ofMillis(1_000);
     private static final int MAX_TRIES = 8;
     private static final long SPREAD_NANOS = Nanos.ofMillis(14_000);
 
-    private final VirtualWorld mWorld;
+    private final VirtualDeployment mWorld;
     private final Map<Long, String> mAccepted = new HashMap<>();
     private final List<String> mNotInForce = new ArrayList<>();
     private final List<String> mWrong = new ArrayList<>();
     private final Set<String> mRefused = new HashSet<>();
     private int mNonces;
 
-    ConfigLog(VirtualWorld world) {
+    VirtualOperators(VirtualDeployment world) {
         mWorld = world;
     }
 
@@ -36,7 +36,7 @@
 
     /** Repeats the same change while the key-value service is away, as the client does. */
     private void apply(int turn, String text, String nonce, int triesLeft) {
-        mWorld.applyBalanced(
+        mWorld.applyConfig(
                 turn,
                 text,
                 nonce,
@@ -57,19 +57,19 @@
                                     if (away && triesLeft > 0) {
                                         Runnable again =
                                                 () -> apply(turn + 1, text, nonce, triesLeft - 1);
-                                        mWorld.time().after(RETRY_NANOS, again);
+                                        mWorld.clock().schedule(RETRY_NANOS, again);
                                     }
                                     return false;
                                 }));
     }
 
     /** Returns the highest version that an operator was told is accepted. */
-    long highest() {
+    long highestAcceptedVersion() {
         return mAccepted.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
     /** Returns what operators were told that is not true. */
-    List<String> wrong() {
+    List<String> findViolations() {
         List<String> wrong = new ArrayList<>(mWrong);
         ConfigStore.create(mWorld.store())
                 .read()
@@ -80,7 +80,7 @@
                                             compare(current.config().nonces(), wrong);
                                             return true;
                                         }));
-        mWorld.time().runUntil(mWorld.time().now() + SPREAD_NANOS);
+        mWorld.clock().runUntil(mWorld.clock().now() + SPREAD_NANOS);
         return wrong;
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** Returns processes that lacked an accepted version 14 seconds later. */
-    List<String> notInForce() {
+    List<String> lateProcesses() {
         return mNotInForce;
     }
 
@@ -107,11 +107,11 @@
         if (other != null && !other.equals(nonce)) {
             mWrong.add("version " + version + " was given to two operators");
         }
-        mWorld.time()
-                .after(
+        mWorld.clock()
+                .schedule(
                         SPREAD_NANOS,
                         () ->
-                                mWorld.processesBelow(version)
+                                mWorld.processesBelowConfigVersion(version)
                                         .forEach(
                                                 name ->
                                                         mNotInForce.add(
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/StandinPlatform.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/StandinPlatform.java
@@ -110,7 +110,7 @@
     }
 
     /** Makes the key-value service lose the answers to the next writes, which take effect. */
-    public void loseAnswers(int count) {
+    public void dropResponses(int count) {
         mAnswersToLose.set(count);
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** Returns how many calls the key-value service has had. */
-    public long calls() {
+    public long callCount() {
         return mCalls.get();
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/StandinTrainer.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/StandinTrainer.java
@@ -80,12 +80,12 @@
     }
 
     /** Returns the number of completed steps. */
-    public long completed() {
+    public long completedSteps() {
         return mCompleted;
     }
 
     /** Returns the newest error that the trainer met; empty if none. */
-    public String lastFault() {
+    public String lastError() {
         return mLastFault;
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/TrainerSettings.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/TrainerSettings.java
@@ -20,7 +20,7 @@
         int maxTokens,
         long trainMillis) {
     /** Returns the number of samples in a step. */
-    public int samples() {
+    public int samplesPerStep() {
         return groups * samplesPerGroup;
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/CallEnd.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/CallOutcome.java
@@ -10,17 +10,17 @@
  * @param tokens tokens that the answer says it has
  * @param fault why there is no answer; null if the connection was lost, or there is an answer
  */
-public record CallEnd(@Nullable String text, int tokens, @Nullable Fault fault) {
-    static CallEnd answered(String text, int tokens) {
-        return new CallEnd(text, tokens, null);
+public record CallOutcome(@Nullable String text, int tokens, @Nullable Fault fault) {
+    static CallOutcome answered(String text, int tokens) {
+        return new CallOutcome(text, tokens, null);
     }
 
-    static CallEnd failed(Fault fault) {
-        return new CallEnd(null, 0, fault);
+    static CallOutcome failed(Fault fault) {
+        return new CallOutcome(null, 0, fault);
     }
 
-    static CallEnd lost() {
-        return new CallEnd(null, 0, null);
+    static CallOutcome lost() {
+        return new CallOutcome(null, 0, null);
     }
 
     /** Returns whether the caller was told that its call did not run. */
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/FaultPlan.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/FaultPlan.java
@@ -7,11 +7,11 @@
 
 /** Which fault strikes at which occurrence of which step. Not thread safe; counts occurrences. */
 public final class FaultPlan {
-    private final List<Strike> mStrikes;
-    private final Map<PathStep, Integer> mSeen = new EnumMap<>(PathStep.class);
+    private final List<PlannedFault> mStrikes;
+    private final Map<InjectionPoint, Integer> mSeen = new EnumMap<>(InjectionPoint.class);
     private int mStruck;
 
-    private FaultPlan(List<Strike> strikes) {
+    private FaultPlan(List<PlannedFault> strikes) {
         mStrikes = List.copyOf(strikes);
     }
 
@@ -22,7 +22,7 @@
      * @param occurrence at which occurrence of the step, from zero
      * @param kind what goes wrong
      */
-    public record Strike(PathStep step, int occurrence, FaultKind kind) {}
+    public record PlannedFault(InjectionPoint injectionPoint, int occurrence, FaultKind kind) {}
 
     /** Returns a plan without faults. */
     public static FaultPlan none() {
@@ -30,15 +30,15 @@
     }
 
     /** Returns a plan with the given faults. */
-    public static FaultPlan of(List<Strike> strikes) {
+    public static FaultPlan of(List<PlannedFault> strikes) {
         return new FaultPlan(strikes);
     }
 
     /** Counts an occurrence of a step and returns the fault that strikes it. */
-    Optional<FaultKind> at(PathStep step) {
+    Optional<FaultKind> recordOccurrence(InjectionPoint step) {
         int occurrence = mSeen.merge(step, 1, Integer::sum) - 1;
-        for (Strike strike : mStrikes) {
-            if (strike.step() == step && strike.occurrence() == occurrence) {
+        for (PlannedFault strike : mStrikes) {
+            if (strike.injectionPoint() == step && strike.occurrence() == occurrence) {
                 mStruck++;
                 return Optional.of(strike.kind());
             }
@@ -47,12 +47,12 @@
     }
 
     /** Returns how many faults have struck. */
-    public int struck() {
+    public int injectedCount() {
         return mStruck;
     }
 
     /** Returns how often a step has occurred. */
-    public int seen(PathStep step) {
+    public int occurrences(InjectionPoint step) {
         return mSeen.getOrDefault(step, 0);
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/PolicyChoice.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/PolicySet.java
@@ -15,14 +15,14 @@
  * @param chooser makes the choice of endpoint for an entry in a failure domain
  * @param stragglers when a slow sample is run a second time
  */
-public record PolicyChoice(
+public record PolicySet(
         String name,
         AttemptPolicy attempts,
         Function<FailureDomain, EndpointChooser> chooser,
         StragglerPolicy stragglers) {
     /** Returns the policies that the daemon runs with. */
-    public static PolicyChoice standard() {
-        return new PolicyChoice(
+    public static PolicySet standard() {
+        return new PolicySet(
                 "ebonyrun",
                 AttemptPolicy.standard(),
                 LeastLoadChooser::create,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
@@ -52,7 +52,7 @@
     private long mStartsAfterDrain;
 
     VirtualAgent(
-            VirtualWorld world,
+            VirtualDeployment world,
             VmId vm,
             ServiceName service,
             FailureDomain domain,
@@ -78,11 +78,11 @@
         return mConfigVersion;
     }
 
-    boolean hasReverted() {
+    boolean hasRevertedConfig() {
         return mReverted;
     }
 
-    boolean isDrained() {
+    boolean isDraining() {
         return mDrainedAt != Long.MAX_VALUE;
     }
 
@@ -93,48 +93,50 @@
 
     @Override
     void onStart() {
-        mEngine.connect(new Events());
+        mEngine.setListener(new Events());
         AttemptLimits limits =
                 new AttemptLimits(
                         0, AttemptLimits.DEFAULT_MAX_QUEUED, AttemptLimits.DEFAULT_MAX_HELD_BYTES);
-        mAttempts = AttemptMachine.create(mVm, limits, mWorld.mPolicy.attempts(), new Attempts());
+        mAttempts =
+                AttemptMachine.create(
+                        mVm, limits, mDeployment.mPolicies.attempts(), new Attempts());
         mSwap = SwapMachine.create(mVm, new Swaps());
         mConfig = ConfigMachine.create(new Configs());
         mConfigVersion = 0;
         mHeartbeats = new HeartbeatPolicy();
-        mEngine.readState();
+        mEngine.reportState();
         learnFloor();
-        every(TICK_NANOS, () -> mAttempts.onTick(now()));
-        every(HEARTBEAT_NANOS, this::heartbeat);
-        every(STATE_NANOS, mEngine::readState);
+        scheduleEvery(TICK_NANOS, () -> mAttempts.onTick(now()));
+        scheduleEvery(HEARTBEAT_NANOS, this::heartbeat);
+        scheduleEvery(STATE_NANOS, mEngine::reportState);
     }
 
     @Override
     void onCrash() {
-        mEngine.dropAll();
+        mEngine.stopAll();
         mLinks.values().forEach(VirtualLink::close);
         mLinks.clear();
     }
 
     /** Begins a graceful shutdown; the agent ends when it is idle. */
     void drain() {
-        mWorld.act(
-                PathStep.AGENT_DRAIN,
-                Parties.ofAgent(this),
+        mDeployment.performWithFault(
+                InjectionPoint.AGENT_DRAIN,
+                Participants.ofAgent(this),
                 () -> {
-                    mDrainedAt = mTime.now();
+                    mDrainedAt = mClock.now();
                     mAttempts.onDrain();
                     heartbeat();
                     endWhenIdle();
                 });
     }
 
-    void onOpened(VirtualLink link) {
+    void onLinkOpened(VirtualLink link) {
         mLinks.put(link.mNumber, link);
         link.sendToEntry(new MembershipMessage.Heartbeat(mConfigVersion, mAttempts.load(now())));
     }
 
-    void onClosed(VirtualLink link) {
+    void onLinkClosed(VirtualLink link) {
         mLinks.remove(link.mNumber);
         mAttempts.onLinkClosed(link.mNumber, now());
     }
@@ -153,16 +155,16 @@
     }
 
     private long now() {
-        return mTime.now();
+        return mClock.now();
     }
 
     private void endWhenIdle() {
-        after(
+        schedule(
                 TICK_NANOS,
                 () -> {
                     if (mAttempts.isIdle()) {
-                        mWorld.remove(this);
-                        end();
+                        mDeployment.removeFromVmList(this);
+                        stop();
                     } else {
                         endWhenIdle();
                     }
@@ -178,9 +180,9 @@
     }
 
     private void learnFloor() {
-        Runnable again = guarded(() -> after(STATE_NANOS, this::learnFloor));
+        Runnable again = guarded(() -> schedule(STATE_NANOS, this::learnFloor));
         SwapMachine swap = mSwap;
-        FenceStore.create(mWorld.mStore)
+        FenceStore.create(mDeployment.mStore)
                 .read(WeightPlanner.leaseKey(mService))
                 .thenAccept(
                         result ->
@@ -234,7 +236,7 @@
             run(
                     () -> {
                         mSwap.onLoaded(version, fault);
-                        mEngine.readState();
+                        mEngine.reportState();
                     });
         }
     }
@@ -252,9 +254,9 @@
                 mStartsAfterDrain++;
             }
             VirtualRequest request = VirtualRequest.decode(job.body());
-            mWorld.act(
-                    PathStep.ENDPOINT_START,
-                    Parties.ofAgent(VirtualAgent.this),
+            mDeployment.performWithFault(
+                    InjectionPoint.ENDPOINT_START,
+                    Participants.ofAgent(VirtualAgent.this),
                     () -> mEngine.start(id, request));
         }
 
@@ -273,9 +275,9 @@
 
         @Override
         public void load(long version, long fence, String source) {
-            mWorld.act(
-                    PathStep.ENGINE_LOAD,
-                    Parties.ofAgent(VirtualAgent.this),
+            mDeployment.performWithFault(
+                    InjectionPoint.ENGINE_LOAD,
+                    Participants.ofAgent(VirtualAgent.this),
                     () -> mEngine.load(version, fence));
         }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualCall.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualCall.java
@@ -12,4 +12,7 @@
  * @param key the key under which it runs at most once; null for none
  */
 public record VirtualCall(
-        ClassName className, VirtualRequest request, boolean idempotent, @Nullable String key) {}
+        ClassName className,
+        VirtualRequest request,
+        boolean idempotent,
+        @Nullable String idempotencyKey) {}
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualTime.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualClock.java
@@ -9,7 +9,7 @@
  *
  * <p>Not thread safe; one thread runs a whole world.
  */
-public final class VirtualTime {
+public final class VirtualClock {
     private final PriorityQueue<Task> mTasks =
             new PriorityQueue<>(
                     Comparator.comparingLong(Task::at).thenComparingLong(Task::sequence));
@@ -20,7 +20,7 @@
     private record Task(long at, long sequence, Runnable action) {}
 
     /** Creates a clock that stands at one second. */
-    public VirtualTime() {
+    public VirtualClock() {
         mNow = 1_000_000_000L;
     }
 
@@ -30,14 +30,14 @@
     }
 
     /** Runs an action after a delay in nanoseconds. */
-    public void after(long nanos, Runnable action) {
+    public void schedule(long nanos, Runnable action) {
         mTasks.add(new Task(mNow + Math.max(0, nanos), mSequence++, action));
     }
 
     /** Runs an action now and then once a period, in nanoseconds, for ever. */
-    public void every(long nanos, Runnable action) {
+    public void scheduleEvery(long nanos, Runnable action) {
         action.run();
-        after(nanos, () -> every(nanos, action));
+        schedule(nanos, () -> scheduleEvery(nanos, action));
     }
 
     /** Runs all tasks that are due until a time, and stands there. */
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualConfig.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualConfigOutputHandler.java
@@ -9,10 +9,10 @@
 import org.ebonyrun.core.config.ServiceSpec;
 
 /** Carries out what a virtual entry's configuration duty decides. Not thread safe. */
-final class VirtualConfig implements ConfigOutputs {
+final class VirtualConfigOutputHandler implements ConfigOutputs {
     private final VirtualEntry mEntry;
 
-    VirtualConfig(VirtualEntry entry) {
+    VirtualConfigOutputHandler(VirtualEntry entry) {
         mEntry = entry;
     }
 
@@ -27,7 +27,7 @@
 
     @Override
     public void onConfigAdopted(OperatorConfig config, String text) {
-        mEntry.adopted(config);
+        mEntry.onConfigAdopted(config);
         mEntry.post(() -> mEntry.mRollout.onConfig(config));
         List<ServiceName> engines =
                 config.services().values().stream()
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualWorld.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDeployment.java
@@ -25,7 +25,7 @@
  *
  * <p>Not thread safe.
  */
-public final class VirtualWorld {
+public final class VirtualDeployment {
     private static final long LATENCY_NANOS = Nanos.ofMillis(1);
     private static final long DELAY_NANOS = Nanos.ofMillis(3_000);
     private static final long OUTAGE_NANOS = Nanos.ofMillis(8_000);
@@ -35,11 +35,11 @@
     private static final int FAULTY_ACTS = 2;
     private static final int LINK_PORT = 7_100;
 
-    final VirtualTime mTime = new VirtualTime();
-    final VirtualStore mStore = new VirtualStore(mTime);
+    final VirtualClock mClock = new VirtualClock();
+    final VirtualStore mStore = new VirtualStore(mClock);
     final Random mRandom;
     final FaultPlan mFaults;
-    final PolicyChoice mPolicy;
+    final PolicySet mPolicies;
     private final List<VirtualEntry> mEntries = new ArrayList<>();
     private final List<VirtualAgent> mAgents = new ArrayList<>();
     private final Set<VirtualProcess> mRemoved = new HashSet<>();
@@ -48,15 +48,15 @@
     private long mFrozenUntil;
     private long mLinks;
 
-    private VirtualWorld(long seed, FaultPlan faults, PolicyChoice policy) {
+    private VirtualDeployment(long seed, FaultPlan faults, PolicySet policy) {
         mRandom = new Random(seed);
         mFaults = faults;
-        mPolicy = policy;
+        mPolicies = policy;
     }
 
     /** Creates a world without processes. */
-    public static VirtualWorld create(long seed, FaultPlan faults, PolicyChoice policy) {
-        return new VirtualWorld(seed, faults, policy);
+    public static VirtualDeployment create(long seed, FaultPlan faults, PolicySet policy) {
+        return new VirtualDeployment(seed, faults, policy);
     }
 
     /** Adds an entry; it starts with {@link #start}. */
@@ -68,7 +68,7 @@
 
     /** Adds an agent and its endpoint; it starts with {@link #start}. */
     public VirtualAgent addAgent(String vm, String domain, String service, EngineModel model) {
-        VirtualEngine engine = new VirtualEngine(mTime, vm, model, model.plain() ? 0 : 1);
+        VirtualEngine engine = new VirtualEngine(mClock, vm, model, model.plain() ? 0 : 1);
         VirtualAgent agent =
                 new VirtualAgent(
                         this,
@@ -88,8 +88,8 @@
     }
 
     /** Returns the clock. */
-    public VirtualTime time() {
-        return mTime;
+    public VirtualClock clock() {
+        return mClock;
     }
 
     /** Returns the key-value service. */
@@ -108,7 +108,7 @@
     }
 
     /** Returns the newest version in the weight store. */
-    public long latest(ServiceName service) {
+    public long latestVersion(ServiceName service) {
         return mLatest.getOrDefault(service, 0L);
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** Returns an entry that the balancer takes for live, or empty if there is none. */
-    public Optional<VirtualEntry> balanced(int turn) {
+    public Optional<VirtualEntry> selectEntry(int turn) {
         List<VirtualEntry> live =
                 mEntries.stream().filter(e -> e.isAlive() && !e.isDraining()).toList();
         return live.isEmpty()
@@ -127,18 +127,18 @@
     }
 
     /** Takes a whole failure domain away, for good. */
-    public void loseDomain(String domain) {
+    public void failDomain(String domain) {
         for (VirtualAgent agent : List.copyOf(mAgents)) {
             if (agent.mDomain.value().equals(domain) && agent.isAlive()) {
-                remove(agent);
+                removeFromVmList(agent);
                 agent.mEngine.crash();
-                agent.end();
+                agent.stop();
             }
         }
         for (VirtualEntry entry : List.copyOf(mEntries)) {
             if (entry.mDomain.value().equals(domain) && entry.isAlive()) {
-                remove(entry);
-                entry.end();
+                removeFromVmList(entry);
+                entry.stop();
             }
         }
     }
@@ -146,7 +146,7 @@
     /** Crashes an endpoint; it restarts after the given time. */
     public void crashEndpoint(VirtualAgent agent, long nanos) {
         agent.mEngine.crash();
-        mTime.after(nanos, agent.mEngine::restart);
+        mClock.schedule(nanos, agent.mEngine::restart);
     }
 
     /** Makes an endpoint slower by a factor. */
@@ -155,49 +155,49 @@
     }
 
     /** Lets the key-value service be away for a while. */
-    public void storeOutage(long nanos) {
-        mStore.downUntil(mTime.now() + nanos);
+    public void startStoreOutage(long nanos) {
+        mStore.setDownUntil(mClock.now() + nanos);
     }
 
     /** Sends a call to the entry that the balancer chooses. The sink is called once. */
-    public void callBalanced(int turn, VirtualCall call, Consumer<CallEnd> sink) {
-        VirtualEntry entry = balanced(turn).orElse(null);
+    public void sendCall(int turn, VirtualCall call, Consumer<CallOutcome> sink) {
+        VirtualEntry entry = selectEntry(turn).orElse(null);
         if (entry == null) {
-            sink.accept(CallEnd.lost());
+            sink.accept(CallOutcome.lost());
             return;
         }
-        mTime.after(
+        mClock.schedule(
                 LATENCY_NANOS,
                 () -> {
                     if (entry.isAlive()) {
-                        entry.call(call, sink);
+                        entry.handleCall(call, sink);
                     } else {
-                        sink.accept(CallEnd.lost());
+                        sink.accept(CallOutcome.lost());
                     }
                 });
     }
 
     /** Applies a configuration at the entry that the balancer chooses, on top of what it has. */
-    public void applyBalanced(
+    public void applyConfig(
             int turn, String text, String nonce, Consumer<Result<StoredConfig>> sink) {
-        balanced(turn)
+        selectEntry(turn)
                 .ifPresent(entry -> entry.applyConfig(entry.configVersion(), text, nonce, sink));
     }
 
     /** Begins a graceful shutdown of an agent. */
     public void drain(VirtualAgent agent) {
-        agent.terminate();
+        agent.markTerminating();
         agent.run(agent::drain);
     }
 
     /** Begins a graceful shutdown of an entry. */
     public void drain(VirtualEntry entry) {
-        entry.terminate();
+        entry.markTerminating();
         entry.run(entry::drain);
     }
 
     /** Returns the live processes whose configuration is below a version. */
-    public List<String> processesBelow(long version) {
+    public List<String> processesBelowConfigVersion(long version) {
         List<String> names = new ArrayList<>();
         for (VirtualEntry entry : mEntries) {
             if (entry.isAlive() && entry.configVersion() < version) {
@@ -213,35 +213,35 @@
     }
 
     /** Returns what processes did that breaks a promise, by what they recorded of themselves. */
-    public List<String> brokenByProcesses(long acceptedConfig) {
+    public List<String> findProcessViolations(long acceptedConfig) {
         List<String> broken = new ArrayList<>();
-        processesBelow(acceptedConfig)
+        processesBelowConfigVersion(acceptedConfig)
                 .forEach(name -> broken.add("9 " + name + " lacks version " + acceptedConfig));
         for (VirtualEntry entry : mEntries) {
-            if (entry.hasReverted()) {
+            if (entry.hasRevertedConfig()) {
                 broken.add("9 " + entry.vm() + " went back");
             }
         }
         for (VirtualAgent agent : mAgents) {
-            if (agent.hasReverted()) {
+            if (agent.hasRevertedConfig()) {
                 broken.add("9 " + agent.vm() + " went back");
             }
             if (agent.startsAfterDrain() > 0) {
                 broken.add("7 " + agent.vm() + " got new work while leaving");
             }
-            if (agent.engine().fencedOrders() > 0) {
+            if (agent.engine().acceptedStaleOrders() > 0) {
                 broken.add("fence: " + agent.vm() + " obeyed an old order");
             }
         }
         return broken;
     }
 
-    void remove(VirtualProcess process) {
+    void removeFromVmList(VirtualProcess process) {
         mRemoved.add(process);
     }
 
     List<Peer> vmList() {
-        if (mTime.now() < mFrozenUntil) {
+        if (mClock.now() < mFrozenUntil) {
             return mFrozenList;
         }
         List<Peer> peers = new ArrayList<>();
@@ -267,16 +267,16 @@
                         .filter(candidate -> candidate.mVm.equals(peer.vm()))
                         .findFirst()
                         .orElseThrow();
-        entry.after(
+        entry.schedule(
                 LATENCY_NANOS,
                 () -> {
                     if (!agent.isAlive()) {
-                        entry.mMembership.onDisconnected(peer.vm(), mTime.now());
+                        entry.mMembership.onDisconnected(peer.vm(), mClock.now());
                         return;
                     }
                     VirtualLink link = new VirtualLink(this, ++mLinks, entry, agent);
-                    entry.onOpened(link);
-                    agent.run(() -> agent.onOpened(link));
+                    entry.onLinkOpened(link);
+                    agent.run(() -> agent.onLinkOpened(link));
                 });
     }
 
@@ -292,20 +292,20 @@
                         .filter(entry -> entry.mVm.equals(owner.vm()))
                         .findFirst()
                         .orElse(null);
-        boolean same = to != null && to.isAlive() && to.mSelf.isSameProcess(owner);
+        boolean same = to != null && to.isAlive() && to.mIdentity.isSameProcess(owner);
         Runnable lost = from.guarded(unreachable);
         if (!same) {
-            mTime.after(LATENCY_NANOS, lost);
+            mClock.schedule(LATENCY_NANOS, lost);
             return;
         }
         Consumer<StepReply> back =
-                reply -> mTime.after(LATENCY_NANOS, from.guarded(() -> sink.accept(reply)));
-        mTime.after(LATENCY_NANOS, () -> to.step(request, true, back, lost));
+                reply -> mClock.schedule(LATENCY_NANOS, from.guarded(() -> sink.accept(reply)));
+        mClock.schedule(LATENCY_NANOS, () -> to.handleStepRequest(request, true, back, lost));
     }
 
     /** Performs an act, and the fault that the plan has for it. */
-    void act(PathStep step, Parties parties, Runnable act) {
-        Optional<FaultKind> fault = mFaults.at(step);
+    void performWithFault(InjectionPoint step, Participants parties, Runnable act) {
+        Optional<FaultKind> fault = mFaults.recordOccurrence(step);
         if (fault.isEmpty()) {
             act.run();
             return;
@@ -320,7 +320,7 @@
         }
     }
 
-    private void strikeEntry(FaultKind kind, Parties parties, Runnable act) {
+    private void strikeEntry(FaultKind kind, Participants parties, Runnable act) {
         VirtualEntry entry = parties.entry();
         if (entry == null) {
             act.run();
@@ -344,9 +344,9 @@
         }
     }
 
-    private void strikeMessage(FaultKind kind, Parties parties, Runnable act) {
+    private void strikeMessage(FaultKind kind, Participants parties, Runnable act) {
         VirtualLink link = parties.link();
-        Runnable lose = parties.lose();
+        Runnable lose = parties.dropClientMessage();
         switch (kind) {
             case LINK_CUT -> {
                 if (link != null) {
@@ -358,7 +358,7 @@
             case ANSWER_LOST -> {
                 act.run();
                 if (link != null) {
-                    mTime.after(2 * LATENCY_NANOS, link::close);
+                    mClock.schedule(2 * LATENCY_NANOS, link::close);
                 } else if (lose != null) {
                     lose.run();
                 }
@@ -368,7 +368,7 @@
                     link.delay(DELAY_NANOS);
                     act.run();
                 } else {
-                    mTime.after(DELAY_NANOS, act);
+                    mClock.schedule(DELAY_NANOS, act);
                 }
             }
             case REORDER -> {
@@ -386,14 +386,14 @@
 
     private void strikeStore(FaultKind kind, Runnable act) {
         switch (kind) {
-            case STORE_DOWN -> mStore.downUntil(mTime.now() + OUTAGE_NANOS);
-            case STORE_SLOW -> mStore.slowUntil(mTime.now() + OUTAGE_NANOS);
-            default -> mStore.loseAnswers(FAULTY_ACTS);
+            case STORE_DOWN -> mStore.setDownUntil(mClock.now() + OUTAGE_NANOS);
+            case STORE_SLOW -> mStore.setSlowUntil(mClock.now() + OUTAGE_NANOS);
+            default -> mStore.dropResponses(FAULTY_ACTS);
         }
         act.run();
     }
 
-    private void strikeAgent(FaultKind kind, Parties parties, Runnable act) {
+    private void strikeAgent(FaultKind kind, Participants parties, Runnable act) {
         VirtualAgent agent = parties.agent();
         if (agent == null) {
             act.run();
@@ -411,7 +411,7 @@
             }
             case VM_LIST_STALE -> {
                 mFrozenList = vmList();
-                mFrozenUntil = mTime.now() + STALE_NANOS;
+                mFrozenUntil = mClock.now() + STALE_NANOS;
                 act.run();
                 agent.crash();
             }
@@ -420,7 +420,7 @@
                 act.run();
             }
             case TRUNCATED_STREAM -> {
-                agent.mEngine.cutStreams(FAULTY_ACTS);
+                agent.mEngine.truncateStreams(FAULTY_ACTS);
                 act.run();
             }
             default -> {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDispatch.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDispatchOutputHandler.java
@@ -10,16 +10,16 @@
 import org.ebonyrun.core.routing.Work;
 
 /** Carries out what a virtual entry's dispatch duty decides. Not thread safe. */
-final class VirtualDispatch implements DispatchOutputs {
+final class VirtualDispatchOutputHandler implements DispatchOutputs {
     private final VirtualEntry mEntry;
 
-    VirtualDispatch(VirtualEntry entry) {
+    VirtualDispatchOutputHandler(VirtualEntry entry) {
         mEntry = entry;
     }
 
     @Override
     public boolean send(VmId vm, AttemptMessage message) {
-        VirtualLink link = mEntry.mByVm.get(vm);
+        VirtualLink link = mEntry.mLinksByVm.get(vm);
         return link != null && link.sendToAgent(message);
     }
 
@@ -28,7 +28,7 @@
 
     @Override
     public void onAnswer(Work work, Answer answer) {
-        mEntry.callAnswered(work, answer.body(), answer.tokens());
+        mEntry.completeCall(work, answer.body(), answer.tokens());
     }
 
     @Override
@@ -48,7 +48,7 @@
     public void onFault(Work work, Fault fault) {
         SampleKey key = work.sample();
         if (key == null) {
-            mEntry.callFailed(work, fault);
+            mEntry.failCall(work, fault);
         } else {
             mEntry.post(() -> mEntry.mRollout.onSampleFailed(key, mEntry.now()));
         }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEngine.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEngine.java
@@ -22,7 +22,7 @@
     private static final long LATENCY_NANOS = Nanos.ofMillis(1);
     private static final long NANOS_PER_MICRO = 1_000;
 
-    private final VirtualTime mTime;
+    private final VirtualClock mTime;
     private final String mName;
     private final List<VirtualRun> mLog = new ArrayList<>();
     private final Map<AttemptId, VirtualRun> mOpen = new LinkedHashMap<>();
@@ -38,7 +38,7 @@
     private long mLife;
     private double mSlowFactor = 1;
 
-    VirtualEngine(VirtualTime time, String name, EngineModel model, long version) {
+    VirtualEngine(VirtualClock time, String name, EngineModel model, long version) {
         mTime = time;
         mName = name;
         mModel = model;
@@ -54,7 +54,7 @@
                 };
     }
 
-    void connect(EndpointListener events) {
+    void setListener(EndpointListener events) {
         mEvents = events;
     }
 
@@ -64,7 +64,7 @@
     }
 
     /** Returns how many orders were obeyed although a higher fence had been seen. */
-    public long fencedOrders() {
+    public long acceptedStaleOrders() {
         return mFencedOrders;
     }
 
@@ -88,7 +88,7 @@
         mLoadsToFail = count;
     }
 
-    void cutStreams(int count) {
+    void truncateStreams(int count) {
         mStreamsToCut = count;
     }
 
@@ -124,7 +124,7 @@
     }
 
     void start(AttemptId id, VirtualRequest request) {
-        mTime.after(LATENCY_NANOS, () -> begin(id, request));
+        mTime.schedule(LATENCY_NANOS, () -> begin(id, request));
     }
 
     void stop(AttemptId id) {
@@ -135,12 +135,12 @@
     }
 
     /** Stops whatever runs without a word, as when the agent that asked for it is gone. */
-    void dropAll() {
+    void stopAll() {
         mOpen.values().forEach(run -> run.mStopped = true);
         mOpen.clear();
     }
 
-    void readState() {
+    void reportState() {
         if (mDown) {
             mEvents.onUnreachable();
         } else {
@@ -150,12 +150,12 @@
 
     void load(long version, long fence) {
         if (mDown) {
-            mTime.after(LATENCY_NANOS, () -> loaded(version, "connect refused"));
+            mTime.schedule(LATENCY_NANOS, () -> loaded(version, "connect refused"));
             return;
         }
         if (fence < mHighestFence) {
             if (mModel.checksFence()) {
-                mTime.after(LATENCY_NANOS, () -> loaded(version, "old fence"));
+                mTime.schedule(LATENCY_NANOS, () -> loaded(version, "old fence"));
                 return;
             }
             mFencedOrders++;
@@ -164,7 +164,7 @@
         long life = mLife;
         boolean fails = mLoadsToFail > 0;
         mLoadsToFail = Math.max(0, mLoadsToFail - 1);
-        mTime.after(
+        mTime.schedule(
                 Nanos.ofMillis(mModel.swapMillis()),
                 () -> {
                     boolean lost = life != mLife || fails;
@@ -195,7 +195,7 @@
         mOpen.put(id, run);
         boolean cached = mCache.put(request.prefix(), Boolean.TRUE) != null;
         long prefill = cached ? 0 : request.promptTokens() * mModel.prefillMicros();
-        mTime.after(prefill * NANOS_PER_MICRO + pieceNanos(run), () -> next(run));
+        mTime.schedule(prefill * NANOS_PER_MICRO + pieceNanos(run), () -> next(run));
     }
 
     private void next(VirtualRun run) {
@@ -209,20 +209,22 @@
             mEvents.onFailure(run.mAttempt, true, FaultCode.TRUNCATED, "no end mark");
             return;
         }
-        boolean first = run.mSent == 0;
-        int count = Math.min(mModel.tokensPerPiece(), run.mRequest.tokens() - run.mSent);
-        run.mSent += count;
+        boolean first = run.mSentTokens == 0;
+        int count = Math.min(mModel.tokensPerPiece(), run.mRequest.tokens() - run.mSentTokens);
+        run.mSentTokens += count;
         if (!mModel.plain()) {
             run.mVersions.add(mVersion);
         }
-        String text = (first ? run.head() : "") + run.words(run.mSent - count, run.mSent);
+        String text =
+                (first ? run.answerPrefix() : "")
+                        + run.pieceText(run.mSentTokens - count, run.mSentTokens);
         mEvents.onPiece(
                 run.mAttempt,
                 text.getBytes(StandardCharsets.UTF_8),
                 count,
                 mModel.plain() ? 0 : mVersion);
-        if (run.mSent < run.mRequest.tokens()) {
-            mTime.after(pieceNanos(run), () -> next(run));
+        if (run.mSentTokens < run.mRequest.tokens()) {
+            mTime.schedule(pieceNanos(run), () -> next(run));
             return;
         }
         run.mFinished = true;
@@ -231,7 +233,7 @@
     }
 
     private long pieceNanos(VirtualRun run) {
-        int tokens = Math.min(mModel.tokensPerPiece(), run.mRequest.tokens() - run.mSent);
+        int tokens = Math.min(mModel.tokensPerPiece(), run.mRequest.tokens() - run.mSentTokens);
         double load = (double) Math.max(0, mOpen.size() - 1) / Math.max(1, mModel.slots() - 1);
         double factor = (1 + mModel.batchSlowdown() * load) * mSlowFactor;
         return (long) (tokens * mModel.tokenMicros() * factor * NANOS_PER_MICRO);
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
@@ -53,11 +53,11 @@
 
     final VmId mVm;
     final FailureDomain mDomain;
-    final Map<VmId, VirtualLink> mByVm = new HashMap<>();
-    final Map<Long, Consumer<StepReply>> mReplies = new HashMap<>();
+    final Map<VmId, VirtualLink> mLinksByVm = new HashMap<>();
+    final Map<Long, Consumer<StepReply>> mReplyHandlers = new HashMap<>();
     final Map<Long, Client> mCalls = new HashMap<>();
     private final Set<Runnable> mClients = new HashSet<>();
-    LeaseHolder mSelf;
+    LeaseHolder mIdentity;
     Dispatcher mDispatcher;
     RolloutMachine mRollout;
     MembershipMachine mMembership;
@@ -67,20 +67,20 @@
     LeaseClient mLeases;
     private ClaimStore mClaims;
     private ConfigStore mConfigs;
-    OperatorConfig mCurrent = OperatorConfig.empty();
+    OperatorConfig mCurrentConfig = OperatorConfig.empty();
     private long mConfigRevision;
     private boolean mReverted;
     private boolean mDraining;
     private long mIds;
 
-    VirtualEntry(VirtualWorld world, VmId vm, FailureDomain domain) {
+    VirtualEntry(VirtualDeployment world, VmId vm, FailureDomain domain) {
         super(world);
         mVm = vm;
         mDomain = domain;
     }
 
     /** A call in progress, its claim if it has one, and its collected answer. */
-    record Client(VirtualCall call, ClaimStore.@Nullable Claim claim, Consumer<CallEnd> sink) {}
+    record Client(VirtualCall call, ClaimStore.@Nullable Claim claim, Consumer<CallOutcome> sink) {}
 
     /** Returns the entry's VM. */
     public VmId vm() {
@@ -89,10 +89,10 @@
 
     /** Returns the configuration version in force here. */
     public long configVersion() {
-        return mCurrent.version();
+        return mCurrentConfig.version();
     }
 
-    boolean hasReverted() {
+    boolean hasRevertedConfig() {
         return mReverted;
     }
 
@@ -102,54 +102,54 @@
 
     @Override
     void onStart() {
-        long incarnation = mWorld.mRandom.nextLong();
-        mSelf = new LeaseHolder(mVm, incarnation, "10.0.0.1", 1);
-        mCurrent = OperatorConfig.empty();
+        long incarnation = mDeployment.mRandom.nextLong();
+        mIdentity = new LeaseHolder(mVm, incarnation, "10.0.0.1", 1);
+        mCurrentConfig = OperatorConfig.empty();
         mDraining = false;
-        mManifests = ManifestStore.create(mWorld.mStore);
-        mLeases = LeaseClient.create(mWorld.mStore, mSelf);
-        mClaims = ClaimStore.create(mWorld.mStore);
-        mConfigs = ConfigStore.create(mWorld.mStore);
+        mManifests = ManifestStore.create(mDeployment.mStore);
+        mLeases = LeaseClient.create(mDeployment.mStore, mIdentity);
+        mClaims = ClaimStore.create(mDeployment.mStore);
+        mConfigs = ConfigStore.create(mDeployment.mStore);
         mDispatcher =
                 Dispatcher.create(
                         incarnation,
-                        mWorld.mPolicy.chooser().apply(mDomain),
-                        new VirtualDispatch(this));
+                        mDeployment.mPolicies.chooser().apply(mDomain),
+                        new VirtualDispatchOutputHandler(this));
         mRollout =
                 RolloutMachine.create(
-                        mSelf,
+                        mIdentity,
                         VirtualEntry::body,
-                        mWorld.mPolicy.stragglers(),
-                        new VirtualRollout(this));
+                        mDeployment.mPolicies.stragglers(),
+                        new VirtualRolloutOutputHandler(this));
         mMembership =
                 MembershipMachine.create(
                         mVm,
                         mDomain,
                         ENTRIES_PER_ENDPOINT,
                         new Random(incarnation),
-                        new VirtualMembership(this));
-        mPlanner = WeightPlanner.create(mSelf, new VirtualPlanner(this));
-        mConfig = ConfigMachine.create(new VirtualConfig(this));
-        every(TICK_NANOS, this::tick);
-        every(SLOW_TICK_NANOS, this::slowTick);
-        every(PAUSE_NANOS, () -> mMembership.onVmList(mWorld.vmList(), now()));
-        mMembership.onVmList(mWorld.vmList(), now());
+                        new VirtualMembershipOutputHandler(this));
+        mPlanner = WeightPlanner.create(mIdentity, new VirtualPlannerOutputHandler(this));
+        mConfig = ConfigMachine.create(new VirtualConfigOutputHandler(this));
+        scheduleEvery(TICK_NANOS, this::tick);
+        scheduleEvery(SLOW_TICK_NANOS, this::slowTick);
+        scheduleEvery(PAUSE_NANOS, () -> mMembership.onVmList(mDeployment.vmList(), now()));
+        mMembership.onVmList(mDeployment.vmList(), now());
         readConfig();
     }
 
     @Override
     void onCrash() {
-        List.copyOf(mByVm.values()).forEach(VirtualLink::close);
-        mByVm.clear();
-        mReplies.clear();
+        List.copyOf(mLinksByVm.values()).forEach(VirtualLink::close);
+        mLinksByVm.clear();
+        mReplyHandlers.clear();
         mCalls.clear();
         List<Runnable> clients = List.copyOf(mClients);
         mClients.clear();
-        clients.forEach(lost -> mTime.after(Nanos.PER_MILLI, lost));
+        clients.forEach(lost -> mClock.schedule(Nanos.PER_MILLI, lost));
     }
 
     long now() {
-        return mTime.now();
+        return mClock.now();
     }
 
     long nextId() {
@@ -158,9 +158,9 @@
 
     /** Begins a graceful shutdown; the entry ends when nothing is open. */
     void drain() {
-        mWorld.act(
-                PathStep.ENTRY_DRAIN,
-                Parties.ofEntry(this),
+        mDeployment.performWithFault(
+                InjectionPoint.ENTRY_DRAIN,
+                Participants.ofEntry(this),
                 () -> {
                     mDraining = true;
                     endWhenIdle();
@@ -168,10 +168,10 @@
     }
 
     /** Takes a call, as the HTTP interface does. The sink is called once. */
-    void call(VirtualCall call, Consumer<CallEnd> sink) {
-        Runnable lost = () -> sink.accept(CallEnd.lost());
+    void handleCall(VirtualCall call, Consumer<CallOutcome> sink) {
+        Runnable lost = () -> sink.accept(CallOutcome.lost());
         mClients.add(lost);
-        Consumer<CallEnd> once =
+        Consumer<CallOutcome> once =
                 end -> {
                     if (mClients.remove(lost)) {
                         sink.accept(end);
@@ -181,7 +181,8 @@
     }
 
     /** Takes a request about a step, as the HTTP interface does. The sink is called once. */
-    void step(StepRequest request, boolean forwarded, Consumer<StepReply> sink, Runnable onLost) {
+    void handleStepRequest(
+            StepRequest request, boolean forwarded, Consumer<StepReply> sink, Runnable onLost) {
         mClients.add(onLost);
         run(
                 () -> {
@@ -191,7 +192,7 @@
                         return;
                     }
                     long id = nextId();
-                    mReplies.put(
+                    mReplyHandlers.put(
                             id,
                             reply -> {
                                 if (mClients.remove(onLost)) {
@@ -207,14 +208,14 @@
             long expected, String text, String nonce, Consumer<Result<StoredConfig>> sink) {
         run(
                 () ->
-                        mWorld.act(
-                                PathStep.CONFIG_WRITE,
-                                Parties.ofEntry(this),
+                        mDeployment.performWithFault(
+                                InjectionPoint.CONFIG_WRITE,
+                                Participants.ofEntry(this),
                                 () -> replaceConfig(expected, text, nonce, sink)));
     }
 
-    void onOpened(VirtualLink link) {
-        VirtualLink older = mByVm.put(link.mAgent.mVm, link);
+    void onLinkOpened(VirtualLink link) {
+        VirtualLink older = mLinksByVm.put(link.mAgent.mVm, link);
         if (older != null) {
             older.close();
         }
@@ -223,9 +224,9 @@
         post(() -> mRollout.onAgentConnected(vm, link.mAgent.mService));
     }
 
-    void onClosed(VirtualLink link) {
+    void onLinkClosed(VirtualLink link) {
         VmId vm = link.mAgent.mVm;
-        if (!mByVm.remove(vm, link)) {
+        if (!mLinksByVm.remove(vm, link)) {
             return;
         }
         mMembership.onDisconnected(vm, now());
@@ -261,9 +262,9 @@
         }
     }
 
-    void adopted(OperatorConfig config) {
-        mReverted |= config.version() < mCurrent.version();
-        mCurrent = config;
+    void onConfigAdopted(OperatorConfig config) {
+        mReverted |= config.version() < mCurrentConfig.version();
+        mCurrentConfig = config;
     }
 
     private void tick() {
@@ -276,10 +277,10 @@
         mPlanner.onTick(now());
     }
 
-    private void begin(VirtualCall call, Consumer<CallEnd> sink) {
-        ClassSpec spec = mCurrent.classSpec(call.className()).orElse(null);
+    private void begin(VirtualCall call, Consumer<CallOutcome> sink) {
+        ClassSpec spec = mCurrentConfig.classSpec(call.className()).orElse(null);
         if (mDraining || spec == null) {
-            sink.accept(CallEnd.failed(draining()));
+            sink.accept(CallOutcome.failed(draining()));
             return;
         }
         long id = nextId();
@@ -303,23 +304,29 @@
                         call.request().prefix().hashCode(),
                         null,
                         0);
-        if (call.key() == null) {
+        if (call.idempotencyKey() == null) {
             mCalls.put(id, new Client(call, null, sink));
             mDispatcher.submit(work, now());
             return;
         }
-        mWorld.act(PathStep.CLAIM_WRITE, Parties.ofEntry(this), () -> claim(call, work, sink));
+        mDeployment.performWithFault(
+                InjectionPoint.CLAIM_WRITE,
+                Participants.ofEntry(this),
+                () -> claim(call, work, sink));
     }
 
-    private void claim(VirtualCall call, Work work, Consumer<CallEnd> sink) {
-        String nonce = Long.toHexString(mWorld.mRandom.nextLong());
+    private void claim(VirtualCall call, Work work, Consumer<CallOutcome> sink) {
+        String nonce = Long.toHexString(mDeployment.mRandom.nextLong());
         whenDone(
-                mClaims.claim(call.className(), String.valueOf(call.key()), nonce),
+                mClaims.claim(call.className(), String.valueOf(call.idempotencyKey()), nonce),
                 result -> claimed(result, call, work, sink));
     }
 
     private void claimed(
-            Result<ClaimStore.Claim> result, VirtualCall call, Work work, Consumer<CallEnd> sink) {
+            Result<ClaimStore.Claim> result,
+            VirtualCall call,
+            Work work,
+            Consumer<CallOutcome> sink) {
         result.fold(
                 claim -> {
                     mCalls.put(work.id(), new Client(call, claim, sink));
@@ -327,12 +334,12 @@
                     return true;
                 },
                 fault -> {
-                    sink.accept(CallEnd.failed(fault));
+                    sink.accept(CallOutcome.failed(fault));
                     return false;
                 });
     }
 
-    void callFailed(Work work, Fault fault) {
+    void failCall(Work work, Fault fault) {
         Client client = mCalls.remove(work.id());
         if (client == null) {
             return;
@@ -340,14 +347,14 @@
         if (client.claim() != null && fault.isNotRun()) {
             mClaims.release(client.claim());
         }
-        client.sink().accept(CallEnd.failed(fault));
+        client.sink().accept(CallOutcome.failed(fault));
     }
 
-    void callAnswered(Work work, byte[] body, int tokens) {
+    void completeCall(Work work, byte[] body, int tokens) {
         Client client = mCalls.remove(work.id());
         if (client != null) {
             String text = new String(body, StandardCharsets.UTF_8);
-            client.sink().accept(CallEnd.answered(text, tokens));
+            client.sink().accept(CallOutcome.answered(text, tokens));
         }
     }
 
@@ -368,7 +375,7 @@
         if (ok) {
             whenDone(mConfigs.watch(mConfigRevision, WATCH_MILLIS), this::onConfig);
         } else {
-            after(PAUSE_NANOS, this::readConfig);
+            schedule(PAUSE_NANOS, this::readConfig);
         }
     }
 
@@ -388,7 +395,7 @@
     }
 
     private void endWhenIdle() {
-        after(
+        schedule(
                 TICK_NANOS,
                 () -> {
                     if (!mClients.isEmpty()) {
@@ -396,8 +403,8 @@
                         return;
                     }
                     mRollout.handOver(now()).forEach(mLeases::release);
-                    mWorld.remove(this);
-                    end();
+                    mDeployment.removeFromVmList(this);
+                    stop();
                 });
     }
 
@@ -415,6 +422,6 @@
 
     /** Returns the links to agents. */
     List<VirtualLink> links() {
-        return new ArrayList<>(mByVm.values());
+        return new ArrayList<>(mLinksByVm.values());
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLeases.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLeaseOutputHandler.java
@@ -7,24 +7,27 @@
 import org.ebonyrun.core.lease.LeaseRecord;
 
 /** Takes and extends leases for a duty of a virtual entry. Not thread safe. */
-final class VirtualLeases implements LeaseOutputs {
+final class VirtualLeaseOutputHandler implements LeaseOutputs {
     private final VirtualEntry mEntry;
     private final Supplier<LeaseListener> mMachine;
 
-    VirtualLeases(VirtualEntry entry, Supplier<LeaseListener> machine) {
+    VirtualLeaseOutputHandler(VirtualEntry entry, Supplier<LeaseListener> machine) {
         mEntry = entry;
         mMachine = machine;
     }
 
     @Override
     public void acquire(String key) {
-        mEntry.mWorld.act(PathStep.LEASE_ACQUIRE, Parties.ofEntry(mEntry), () -> doAcquire(key));
+        mEntry.mDeployment.performWithFault(
+                InjectionPoint.LEASE_ACQUIRE, Participants.ofEntry(mEntry), () -> doAcquire(key));
     }
 
     @Override
     public void renew(String key, long revision) {
-        mEntry.mWorld.act(
-                PathStep.LEASE_RENEW, Parties.ofEntry(mEntry), () -> doRenew(key, revision));
+        mEntry.mDeployment.performWithFault(
+                InjectionPoint.LEASE_RENEW,
+                Participants.ofEntry(mEntry),
+                () -> doRenew(key, revision));
     }
 
     private void doAcquire(String key) {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLink.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLink.java
@@ -17,20 +17,20 @@
  * <p>Not thread safe.
  */
 final class VirtualLink {
-    private static final Map<Class<? extends Message>, PathStep> STEPS =
+    private static final Map<Class<? extends Message>, InjectionPoint> STEPS =
             Map.ofEntries(
-                    entry(AttemptMessage.Piece.class, PathStep.CALL_PIECE),
-                    entry(AttemptMessage.Done.class, PathStep.CALL_DONE),
-                    entry(AttemptMessage.Refused.class, PathStep.CALL_REFUSED),
-                    entry(AttemptMessage.SampleFinished.class, PathStep.SAMPLE_FINISHED),
-                    entry(AttemptMessage.FetchSample.class, PathStep.SAMPLE_FETCH),
-                    entry(AttemptMessage.SampleContent.class, PathStep.SAMPLE_CONTENT),
-                    entry(AttemptMessage.ReleaseSamples.class, PathStep.SAMPLE_RELEASE),
-                    entry(AttemptMessage.HeldQuery.class, PathStep.HELD_QUERY),
-                    entry(AttemptMessage.HeldSamples.class, PathStep.HELD_ANSWER),
-                    entry(ConfigMessage.ConfigUpdate.class, PathStep.CONFIG_SPREAD),
-                    entry(WeightMessage.LoadOrder.class, PathStep.LOAD_ORDER),
-                    entry(WeightMessage.LoadResult.class, PathStep.LOAD_RESULT));
+                    entry(AttemptMessage.Piece.class, InjectionPoint.CALL_PIECE),
+                    entry(AttemptMessage.Done.class, InjectionPoint.CALL_DONE),
+                    entry(AttemptMessage.Refused.class, InjectionPoint.CALL_REFUSED),
+                    entry(AttemptMessage.SampleFinished.class, InjectionPoint.SAMPLE_FINISHED),
+                    entry(AttemptMessage.FetchSample.class, InjectionPoint.SAMPLE_FETCH),
+                    entry(AttemptMessage.SampleContent.class, InjectionPoint.SAMPLE_CONTENT),
+                    entry(AttemptMessage.ReleaseSamples.class, InjectionPoint.SAMPLE_RELEASE),
+                    entry(AttemptMessage.HeldQuery.class, InjectionPoint.HELD_QUERY),
+                    entry(AttemptMessage.HeldSamples.class, InjectionPoint.HELD_ANSWER),
+                    entry(ConfigMessage.ConfigUpdate.class, InjectionPoint.CONFIG_SPREAD),
+                    entry(WeightMessage.LoadOrder.class, InjectionPoint.LOAD_ORDER),
+                    entry(WeightMessage.LoadResult.class, InjectionPoint.LOAD_RESULT));
 
     private static final long LATENCY_NANOS = Nanos.ofMillis(1);
     private static final long REORDER_NANOS = Nanos.ofMillis(60);
@@ -38,13 +38,13 @@
     final long mNumber;
     final VirtualEntry mEntry;
     final VirtualAgent mAgent;
-    private final VirtualWorld mWorld;
+    private final VirtualDeployment mWorld;
     private long mToAgentAt;
     private long mToEntryAt;
     private boolean mReorder;
     private boolean mOpen = true;
 
-    VirtualLink(VirtualWorld world, long number, VirtualEntry entry, VirtualAgent agent) {
+    VirtualLink(VirtualDeployment world, long number, VirtualEntry entry, VirtualAgent agent) {
         mWorld = world;
         mNumber = number;
         mEntry = entry;
@@ -81,16 +81,16 @@
             return;
         }
         mOpen = false;
-        Runnable atEntry = mEntry.guarded(() -> mEntry.onClosed(this));
-        Runnable atAgent = mAgent.guarded(() -> mAgent.onClosed(this));
-        mWorld.mTime.after(LATENCY_NANOS, atEntry);
-        mWorld.mTime.after(LATENCY_NANOS, atAgent);
+        Runnable atEntry = mEntry.guarded(() -> mEntry.onLinkClosed(this));
+        Runnable atAgent = mAgent.guarded(() -> mAgent.onLinkClosed(this));
+        mWorld.mClock.schedule(LATENCY_NANOS, atEntry);
+        mWorld.mClock.schedule(LATENCY_NANOS, atAgent);
     }
 
     /** Lets everything that is sent from now on arrive late. */
     void delay(long nanos) {
-        mToAgentAt = mWorld.mTime.now() + nanos;
-        mToEntryAt = mWorld.mTime.now() + nanos;
+        mToAgentAt = mWorld.mClock.now() + nanos;
+        mToEntryAt = mWorld.mClock.now() + nanos;
     }
 
     /** Lets the next message arrive after the ones that follow it. */
@@ -102,17 +102,17 @@
         if (!mOpen) {
             return false;
         }
-        PathStep step = step(message);
+        InjectionPoint step = step(message);
         if (step == null) {
             act.run();
         } else {
-            mWorld.act(step, Parties.ofLink(this), act);
+            mWorld.performWithFault(step, Participants.ofLink(this), act);
         }
         return true;
     }
 
     private long arrival(long earlier) {
-        return Math.max(earlier, mWorld.mTime.now() + LATENCY_NANOS);
+        return Math.max(earlier, mWorld.mClock.now() + LATENCY_NANOS);
     }
 
     private long takeReorder(long at) {
@@ -122,8 +122,8 @@
     }
 
     private void deliver(long at, Runnable delivery) {
-        mWorld.mTime.after(
-                at - mWorld.mTime.now(),
+        mWorld.mClock.schedule(
+                at - mWorld.mClock.now(),
                 () -> {
                     if (mOpen) {
                         delivery.run();
@@ -131,10 +131,10 @@
                 });
     }
 
-    private static @Nullable PathStep step(Message message) {
+    private static @Nullable InjectionPoint step(Message message) {
         if (message instanceof AttemptMessage.Offer offer) {
             boolean sample = offer.job().kind() == WorkKind.SAMPLE;
-            return sample ? PathStep.SAMPLE_OFFER : PathStep.CALL_OFFER;
+            return sample ? InjectionPoint.SAMPLE_OFFER : InjectionPoint.CALL_OFFER;
         }
         return STEPS.get(message.getClass());
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualMembership.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualMembershipOutputHandler.java
@@ -7,21 +7,21 @@
 import org.ebonyrun.core.membership.Peer;
 
 /** Carries out what a virtual entry's membership duty decides. Not thread safe. */
-final class VirtualMembership implements MembershipOutputs {
+final class VirtualMembershipOutputHandler implements MembershipOutputs {
     private final VirtualEntry mEntry;
 
-    VirtualMembership(VirtualEntry entry) {
+    VirtualMembershipOutputHandler(VirtualEntry entry) {
         mEntry = entry;
     }
 
     @Override
     public void connect(Peer peer) {
-        mEntry.mWorld.connect(mEntry, peer);
+        mEntry.mDeployment.connect(mEntry, peer);
     }
 
     @Override
     public void disconnect(VmId vm) {
-        VirtualLink link = mEntry.mByVm.get(vm);
+        VirtualLink link = mEntry.mLinksByVm.get(vm);
         if (link != null) {
             link.close();
         }
@@ -29,9 +29,10 @@
 
     @Override
     public void sendHeartbeat(VmId vm) {
-        VirtualLink link = mEntry.mByVm.get(vm);
+        VirtualLink link = mEntry.mLinksByVm.get(vm);
         if (link != null) {
-            link.sendToAgent(new MembershipMessage.Heartbeat(mEntry.mCurrent.version(), null));
+            link.sendToAgent(
+                    new MembershipMessage.Heartbeat(mEntry.mCurrentConfig.version(), null));
         }
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualPlanner.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualPlannerOutputHandler.java
@@ -8,13 +8,13 @@
 import org.ebonyrun.core.weights.WeightMessage;
 
 /** Carries out what a virtual entry's weight planner decides. Not thread safe. */
-final class VirtualPlanner implements PlannerOutputs {
+final class VirtualPlannerOutputHandler implements PlannerOutputs {
     private final VirtualEntry mEntry;
     private final LeaseOutputs mLeases;
 
-    VirtualPlanner(VirtualEntry entry) {
+    VirtualPlannerOutputHandler(VirtualEntry entry) {
         mEntry = entry;
-        mLeases = new VirtualLeases(entry, () -> entry.mPlanner);
+        mLeases = new VirtualLeaseOutputHandler(entry, () -> entry.mPlanner);
     }
 
     @Override
@@ -29,17 +29,17 @@
 
     @Override
     public boolean sendOrder(VmId vm, WeightMessage.LoadOrder order) {
-        VirtualLink link = mEntry.mByVm.get(vm);
+        VirtualLink link = mEntry.mLinksByVm.get(vm);
         return link != null && link.sendToAgent(order);
     }
 
     @Override
     public void requestLatestVersion(ServiceName service) {
-        mEntry.after(
+        mEntry.schedule(
                 Nanos.ofMillis(2),
                 () ->
                         mEntry.mPlanner.onLatestVersion(
-                                service, mEntry.mWorld.latest(service), mEntry.now()));
+                                service, mEntry.mDeployment.latestVersion(service), mEntry.now()));
     }
 
     @Override
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualProcess.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualProcess.java
@@ -15,17 +15,17 @@
 abstract class VirtualProcess {
     private static final long RESTART_NANOS = Nanos.ofMillis(2_000);
 
-    final VirtualWorld mWorld;
-    final VirtualTime mTime;
+    final VirtualDeployment mDeployment;
+    final VirtualClock mClock;
     private final List<Runnable> mBacklog = new ArrayList<>();
     private boolean mAlive;
     private long mPausedUntil;
     private long mLife;
     private boolean mTerminating;
 
-    VirtualProcess(VirtualWorld world) {
-        mWorld = world;
-        mTime = world.mTime;
+    VirtualProcess(VirtualDeployment world) {
+        mDeployment = world;
+        mClock = world.mClock;
     }
 
     /** Makes a fresh process. */
@@ -50,14 +50,14 @@
         if (!mAlive) {
             return;
         }
-        end();
+        stop();
         if (!mTerminating) {
-            mTime.after(RESTART_NANOS, this::start);
+            mClock.schedule(RESTART_NANOS, this::start);
         }
     }
 
     /** Takes note that the supervisor told the process to terminate, and won't restart it. */
-    final void terminate() {
+    final void markTerminating() {
         mTerminating = true;
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** Dies now and stays away. */
-    final void end() {
+    final void stop() {
         mAlive = false;
         mLife++;
         mBacklog.clear();
@@ -78,9 +78,9 @@
         if (!mAlive) {
             return;
         }
-        mPausedUntil = mTime.now() + nanos;
+        mPausedUntil = mClock.now() + nanos;
         long life = mLife;
-        mTime.after(
+        mClock.schedule(
                 nanos,
                 () -> {
                     if (life == mLife) {
@@ -96,7 +96,7 @@
         if (!mAlive) {
             return;
         }
-        if (mTime.now() < mPausedUntil) {
+        if (mClock.now() < mPausedUntil) {
             mBacklog.add(action);
         } else {
             action.run();
@@ -104,9 +104,9 @@
     }
 
     /** Runs an action later, if the process has not died until then. */
-    final void after(long nanos, Runnable action) {
+    final void schedule(long nanos, Runnable action) {
         long life = mLife;
-        mTime.after(
+        mClock.schedule(
                 nanos,
                 () -> {
                     if (life == mLife) {
@@ -116,18 +116,18 @@
     }
 
     /** Runs an action once a period, until the process dies. */
-    final void every(long nanos, Runnable action) {
-        after(
+    final void scheduleEvery(long nanos, Runnable action) {
+        schedule(
                 nanos,
                 () -> {
                     action.run();
-                    every(nanos, action);
+                    scheduleEvery(nanos, action);
                 });
     }
 
     /** Hands an action to another duty of the process. */
     final void post(Runnable action) {
-        after(0, action);
+        schedule(0, action);
     }
 
     /** Returns an action that does nothing if the process dies before it is called. */
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRollout.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRolloutOutputHandler.java
@@ -21,13 +21,13 @@
 import org.jspecify.annotations.Nullable;
 
 /** Carries out what a virtual entry's rollout duty decides. Not thread safe. */
-final class VirtualRollout implements RolloutOutputs {
+final class VirtualRolloutOutputHandler implements RolloutOutputs {
     private final VirtualEntry mEntry;
     private final LeaseOutputs mLeases;
 
-    VirtualRollout(VirtualEntry entry) {
+    VirtualRolloutOutputHandler(VirtualEntry entry) {
         mEntry = entry;
-        mLeases = new VirtualLeases(entry, () -> entry.mRollout);
+        mLeases = new VirtualLeaseOutputHandler(entry, () -> entry.mRollout);
     }
 
     @Override
@@ -42,7 +42,8 @@
 
     @Override
     public void storeManifest(StepManifest manifest) {
-        mEntry.mWorld.act(PathStep.MANIFEST_STORE, Parties.ofEntry(mEntry), () -> store(manifest));
+        mEntry.mDeployment.performWithFault(
+                InjectionPoint.MANIFEST_STORE, Participants.ofEntry(mEntry), () -> store(manifest));
     }
 
     private void store(StepManifest manifest) {
@@ -94,13 +95,13 @@
 
     @Override
     public boolean send(VmId vm, AttemptMessage message) {
-        VirtualLink link = mEntry.mByVm.get(vm);
+        VirtualLink link = mEntry.mLinksByVm.get(vm);
         return link != null && link.sendToAgent(message);
     }
 
     @Override
     public void broadcast(ServiceName service, AttemptMessage message) {
-        for (VirtualLink link : List.copyOf(mEntry.mByVm.values())) {
+        for (VirtualLink link : List.copyOf(mEntry.mLinksByVm.values())) {
             if (link.mAgent.mService.equals(service)) {
                 link.sendToAgent(message);
             }
@@ -114,7 +115,7 @@
 
     @Override
     public void forward(LeaseHolder owner, long requestId, StepRequest request) {
-        Consumer<StepReply> back = mEntry.mReplies.get(requestId);
+        Consumer<StepReply> back = mEntry.mReplyHandlers.get(requestId);
         Consumer<StepReply> sink =
                 reply -> {
                     if (back != null) {
@@ -123,7 +124,7 @@
                 };
         Fault gone =
                 Fault.unknown(FaultCode.OWNER_UNAVAILABLE, "step.forward", "", "owner is gone");
-        mEntry.mWorld.forward(
+        mEntry.mDeployment.forward(
                 mEntry,
                 owner,
                 request,
@@ -136,7 +137,7 @@
 
     @Override
     public void reply(long requestId, StepReply reply) {
-        Consumer<StepReply> sink = mEntry.mReplies.remove(requestId);
+        Consumer<StepReply> sink = mEntry.mReplyHandlers.remove(requestId);
         if (sink != null) {
             sink.accept(reply);
         }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRun.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRun.java
@@ -11,7 +11,7 @@
     final VirtualRequest mRequest;
     final long mStartedAt;
     final TreeSet<Long> mVersions = new TreeSet<>();
-    int mSent;
+    int mSentTokens;
     boolean mStopped;
     boolean mFinished;
 
@@ -29,7 +29,7 @@
 
     /** Returns how many tokens were produced. */
     public int tokens() {
-        return mSent;
+        return mSentTokens;
     }
 
     /** Returns whether the run was stopped before its end. */
@@ -53,12 +53,12 @@
     }
 
     /** Returns the beginning of the answer: whose it is. */
-    String head() {
+    String answerPrefix() {
         return mRunId + ":" + mRequest.prompt();
     }
 
     /** Returns the text of the tokens of one piece. */
-    String words(int from, int to) {
+    String pieceText(int from, int to) {
         return " " + from + "-" + to;
     }
 
@@ -67,10 +67,10 @@
      *
      * @param tokensPerPiece tokens in each piece of the stream
      */
-    public String text(int tokensPerPiece) {
-        StringBuilder text = new StringBuilder(head());
+    public String completeText(int tokensPerPiece) {
+        StringBuilder text = new StringBuilder(answerPrefix());
         for (int from = 0; from < mRequest.tokens(); from += tokensPerPiece) {
-            text.append(words(from, Math.min(mRequest.tokens(), from + tokensPerPiece)));
+            text.append(pieceText(from, Math.min(mRequest.tokens(), from + tokensPerPiece)));
         }
         return text.toString();
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualStore.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualStore.java
@@ -19,34 +19,34 @@
     private static final long TIMEOUT_NANOS = Nanos.ofMillis(2_000);
     private static final long SLOW_NANOS = Nanos.ofMillis(1_500);
 
-    private final VirtualTime mTime;
+    private final VirtualClock mTime;
     private final KeyValueTable mTable = new KeyValueTable();
     private long mDownUntil;
     private long mSlowUntil;
     private int mAnswersToLose;
     private long mCalls;
 
-    VirtualStore(VirtualTime time) {
+    VirtualStore(VirtualClock time) {
         mTime = time;
     }
 
     /** Lets every call time out until the given time; none takes effect. */
-    void downUntil(long time) {
+    void setDownUntil(long time) {
         mDownUntil = time;
     }
 
     /** Lets every call take long until the given time. */
-    void slowUntil(long time) {
+    void setSlowUntil(long time) {
         mSlowUntil = time;
     }
 
     /** Loses the answers to the next writes, which take effect. */
-    void loseAnswers(int count) {
+    void dropResponses(int count) {
         mAnswersToLose = count;
     }
 
     /** Returns how many calls were made. */
-    public long calls() {
+    public long callCount() {
         return mCalls;
     }
 
@@ -92,7 +92,7 @@
             long deadline,
             CompletableFuture<Result<Optional<KeyValueEntry>>> answer) {
         if (mTime.now() < mDownUntil) {
-            mTime.after(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
+            mTime.schedule(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
             return;
         }
         KeyValueEntry entry = mTable.get(key, nowMillis());
@@ -100,7 +100,7 @@
         if (newer || mTime.now() >= deadline) {
             answer.complete(Result.ok(Optional.ofNullable(entry)));
         } else {
-            mTime.after(Nanos.ofMillis(100), () -> pollWatch(key, after, deadline, answer));
+            mTime.schedule(Nanos.ofMillis(100), () -> pollWatch(key, after, deadline, answer));
         }
     }
 
@@ -109,11 +109,11 @@
         CompletableFuture<Result<T>> answer = new CompletableFuture<>();
         long now = mTime.now();
         if (now < mDownUntil) {
-            mTime.after(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
+            mTime.schedule(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
             return answer;
         }
         long latency = now < mSlowUntil ? SLOW_NANOS : LATENCY_NANOS;
-        mTime.after(latency / 2, () -> perform(write, action, latency / 2, answer));
+        mTime.schedule(latency / 2, () -> perform(write, action, latency / 2, answer));
         return answer;
     }
 
@@ -122,9 +122,9 @@
         T value = action.get();
         if (write && mAnswersToLose > 0) {
             mAnswersToLose--;
-            mTime.after(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
+            mTime.schedule(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
         } else {
-            mTime.after(wayBack, () -> answer.complete(Result.ok(value)));
+            mTime.schedule(wayBack, () -> answer.complete(Result.ok(value)));
         }
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualTrainer.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualTrainer.java
@@ -25,8 +25,8 @@
     private static final long RETRY_NANOS = Nanos.ofMillis(200);
     private static final long WAIT_MILLIS = 2_000;
 
-    private final VirtualWorld mWorld;
-    private final Plan mPlan;
+    private final VirtualDeployment mWorld;
+    private final Options mPlan;
     private final List<VirtualSample> mSamples = new ArrayList<>();
     private final List<Long> mIdleNanos = new ArrayList<>();
     private long mVersion = 1;
@@ -38,7 +38,7 @@
     private boolean mStopping;
     private boolean mStopped;
 
-    private VirtualTrainer(VirtualWorld world, Plan plan) {
+    private VirtualTrainer(VirtualDeployment world, Options plan) {
         mWorld = world;
         mPlan = plan;
     }
@@ -56,24 +56,24 @@
      * @param trainMillis time that it trains on a step, in milliseconds
      * @param trainsWhilePulling whether it publishes a version after each answer with samples
      */
-    public record Plan(
+    public record Options(
             TrainerId trainer,
             ClassName className,
             ServiceName service,
             int groups,
             int samplesPerGroup,
             int promptTokens,
-            IntUnaryOperator tokens,
+            IntUnaryOperator tokensPerSample,
             long trainMillis,
             boolean trainsWhilePulling) {
         /** Returns the number of samples in a step. */
-        public int samples() {
+        public int samplesPerStep() {
             return groups * samplesPerGroup;
         }
     }
 
     /** Creates a trainer; it starts with {@link #start}. */
-    public static VirtualTrainer create(VirtualWorld world, Plan plan) {
+    public static VirtualTrainer create(VirtualDeployment world, Options plan) {
         return new VirtualTrainer(world, plan);
     }
 
@@ -93,7 +93,7 @@
     }
 
     /** Returns how the trainer behaves. */
-    public Plan plan() {
+    public Options options() {
         return mPlan;
     }
 
@@ -114,7 +114,7 @@
         }
         mStep++;
         mCursor = "";
-        mStepBegan = mWorld.mTime.now();
+        mStepBegan = mWorld.mClock.now();
         submit();
     }
 
@@ -124,56 +124,68 @@
             int number = (int) mStep * mPlan.groups() + group;
             String prompt =
                     mPlan.trainer() + "/" + mStep + "/" + group + "#" + mPlan.promptTokens();
-            int tokens = mPlan.tokens().applyAsInt(number);
+            int tokens = mPlan.tokensPerSample().applyAsInt(number);
             groups.add(new PromptGroup(prompt, mPlan.samplesPerGroup(), tokens));
         }
         StepManifest manifest =
                 new StepManifest(mPlan.trainer(), mStep, mPlan.className(), mVersion, groups);
-        ask(PathStep.STEP_SUBMIT, new StepRequest.Submit(manifest));
+        ask(InjectionPoint.STEP_SUBMIT, new StepRequest.Submit(manifest));
     }
 
     private void pull() {
         ask(
-                PathStep.STEP_PULL,
+                InjectionPoint.STEP_PULL,
                 new StepRequest.Pull(
-                        mPlan.trainer(), mStep, mCursor, mVersion, mPlan.samples(), WAIT_MILLIS));
+                        mPlan.trainer(),
+                        mStep,
+                        mCursor,
+                        mVersion,
+                        mPlan.samplesPerStep(),
+                        WAIT_MILLIS));
     }
 
-    private void ask(PathStep step, StepRequest request) {
+    private void ask(InjectionPoint step, StepRequest request) {
         long token = ++mToken;
         Runnable again = () -> retry(token, step, request);
-        VirtualEntry entry = mWorld.balanced(mTurn++).orElse(null);
+        VirtualEntry entry = mWorld.selectEntry(mTurn++).orElse(null);
         if (entry == null) {
-            mWorld.mTime.after(RETRY_NANOS, again);
+            mWorld.mClock.schedule(RETRY_NANOS, again);
             return;
         }
-        mWorld.mTime.after(TIMEOUT_NANOS, again);
-        mWorld.mTime.after(
+        mWorld.mClock.schedule(TIMEOUT_NANOS, again);
+        mWorld.mClock.schedule(
                 LATENCY_NANOS,
                 () ->
-                        mWorld.act(
+                        mWorld.performWithFault(
                                 step,
-                                Parties.ofClient(entry, again),
+                                Participants.ofClient(entry, again),
                                 () -> send(entry, token, step, request, again)));
     }
 
     private void send(
-            VirtualEntry entry, long token, PathStep step, StepRequest request, Runnable again) {
+            VirtualEntry entry,
+            long token,
+            InjectionPoint step,
+            StepRequest request,
+            Runnable again) {
         if (!entry.isAlive()) {
-            mWorld.mTime.after(LATENCY_NANOS, again);
+            mWorld.mClock.schedule(LATENCY_NANOS, again);
             return;
         }
-        entry.step(
+        entry.handleStepRequest(
                 request,
                 false,
                 reply -> {
                     Runnable deliver =
                             () ->
-                                    mWorld.mTime.after(
+                                    mWorld.mClock.schedule(
                                             LATENCY_NANOS,
                                             () -> onReply(token, step, request, reply));
                     if (request instanceof StepRequest.Pull) {
-                        mWorld.act(PathStep.PULL_REPLY, Parties.ofClient(entry, again), deliver);
+                        mWorld.performWithFault(
+                                InjectionPoint.PULL_REPLY,
+                                Participants.ofClient(entry, again),
+                                deliver);
                     } else {
                         deliver.run();
                     }
@@ -181,14 +193,14 @@
                 again);
     }
 
-    private void retry(long token, PathStep step, StepRequest request) {
+    private void retry(long token, InjectionPoint step, StepRequest request) {
         if (token == mToken) {
             mToken++;
-            mWorld.mTime.after(RETRY_NANOS, () -> ask(step, request));
+            mWorld.mClock.schedule(RETRY_NANOS, () -> ask(step, request));
         }
     }
 
-    private void onReply(long token, PathStep step, StepRequest request, StepReply reply) {
+    private void onReply(long token, InjectionPoint step, StepRequest request, StepReply reply) {
         if (token != mToken) {
             return;
         }
@@ -216,8 +228,8 @@
         }
         mCursor = reply.cursor();
         if (reply.complete()) {
-            mIdleNanos.add(mWorld.mTime.now() - mStepBegan);
-            mWorld.mTime.after(Nanos.ofMillis(mPlan.trainMillis()), this::trained);
+            mIdleNanos.add(mWorld.mClock.now() - mStepBegan);
+            mWorld.mClock.schedule(Nanos.ofMillis(mPlan.trainMillis()), this::trained);
         } else {
             pull();
         }
@@ -229,7 +241,7 @@
     }
 
     private void publishNext() {
-        mVersion = Math.max(mVersion + 1, mWorld.latest(mPlan.service()) + 1);
+        mVersion = Math.max(mVersion + 1, mWorld.latestVersion(mPlan.service()) + 1);
         mWorld.publish(mPlan.service(), mVersion);
     }
 }
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/fault/FaultMatrixTest.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/fault/FaultMatrixTest.java
@@ -18,7 +18,7 @@
     @Test
     void everythingIsAnsweredWithoutFaults() {
         FaultOutcome outcome = FaultScenario.run(1, FaultPlan.none());
-        assertThat(outcome.broken(), empty());
+        assertThat(outcome.violations(), empty());
         assertThat(outcome.answered(), greaterThan(outcome.calls() * 9 / 10));
     }
 
@@ -31,11 +31,11 @@
     @EnumSource(FaultKind.class)
     void keepsEveryPromiseUnderEachFaultAtEachStep(FaultKind kind) {
         List<String> broken =
-                FaultMatrix.possibleCells().parallelStream()
+                FaultMatrix.applicableCells().parallelStream()
                         .filter(cell -> cell.kind() == kind)
                         .flatMap(
                                 cell ->
-                                        FaultMatrix.run(cell, 1).broken().stream()
+                                        FaultMatrix.run(cell, 1).violations().stream()
                                                 .map(text -> cell + ": " + text))
                         .toList();
         assertThat(broken, empty());
@@ -50,7 +50,7 @@
                         .boxed()
                         .flatMap(
                                 seed ->
-                                        FaultMatrix.runPair(seed).broken().stream()
+                                        FaultMatrix.runPair(seed).violations().stream()
                                                 .map(text -> "pair " + seed + ": " + text))
                         .toList();
         assertThat(broken, empty());
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/EntryHttpTest.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/EntryHttpTest.java
@@ -63,7 +63,8 @@
             })
     void malformedRequestsGetAStableCode(
             String method, String path, String type, String body, int status, String code) {
-        HttpResponse reply = sFleet.ask(method, path, Map.of("Content-Type", type), body).orThrow();
+        HttpResponse reply =
+                sFleet.send(method, path, Map.of("Content-Type", type), body).orThrow();
         assertThat(reply.text(), containsString("\"code\":\"" + code + "\""));
         assertThat(reply.text(), containsString("\"outcome\":\"not-run\""));
         assertThat(reply.status(), is(status));
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/LoopbackFleet.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/LoopbackFleet.java
@@ -35,7 +35,7 @@
               rollout: {service: models, kind: rollout, staleness: 2 versions, trainer_idle: 5s}
             """;
 
-    final AsyncHttpClient mCaller = AsyncHttpClient.start();
+    final AsyncHttpClient mHttpClient = AsyncHttpClient.start();
     final StandinPlatform mPlatform = StandinPlatform.start(HOST, 0);
     final LoopbackSettings mSettings = new LoopbackSettings(mPlatform.address(), 8);
     final StandinEngine[] mEngines = new StandinEngine[2];
@@ -51,11 +51,11 @@
         }
         mEntry = EntryNode.start(mSettings.entry("entry-1", DOMAIN));
         String query = "/admin/config?author=test&expect=0";
-        HttpResponse reply = ask("PUT", query, Map.of(), CONFIG).orThrow();
+        HttpResponse reply = send("PUT", query, Map.of(), CONFIG).orThrow();
         if (!reply.isSuccess()) {
             throw new IllegalStateException(reply.text());
         }
-        awaitUsable(2);
+        awaitUsableEndpoints(2);
     }
 
     /** Starts the agent of an engine, again after a crash. */
@@ -76,11 +76,12 @@
     }
 
     /** Asks the entry for its state until it sees a number of usable endpoints. */
-    void awaitUsable(int count) {
+    void awaitUsableEndpoints(int count) {
         String usable = "\"usable\":true,\"free\"";
         int seen = -1;
         while (seen != count) {
-            String dump = ask("GET", "/admin/dump", Map.of(), "").fold(HttpResponse::text, f -> "");
+            String dump =
+                    send("GET", "/admin/dump", Map.of(), "").fold(HttpResponse::text, f -> "");
             seen = dump.split(usable, -1).length - 1;
         }
     }
@@ -90,11 +91,12 @@
     }
 
     Result<HttpResponse> call(String body) {
-        return ask("POST", "/v1/calls/lookup", Map.of("Content-Type", "application/json"), body);
+        return send("POST", "/v1/calls/lookup", Map.of("Content-Type", "application/json"), body);
     }
 
-    Result<HttpResponse> ask(String method, String path, Map<String, String> headers, String body) {
-        return mCaller.request(request(method, path, headers, body), "test").join();
+    Result<HttpResponse> send(
+            String method, String path, Map<String, String> headers, String body) {
+        return mHttpClient.request(request(method, path, headers, body), "test").join();
     }
 
     HttpRequest request(String method, String path, Map<String, String> headers, String body) {
@@ -110,6 +112,6 @@
             mEngines[i].close();
         }
         mPlatform.close();
-        mCaller.close();
+        mHttpClient.close();
     }
 }
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/NodeLifeTest.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/NodeLifecycleTest.java
@@ -17,7 +17,7 @@
 
 /** Kills, drains and restarts nodes in the middle of streams, over real sockets. */
 @Timeout(60)
-class NodeLifeTest {
+class NodeLifecycleTest {
     private static final Map<String, String> JSON = Map.of("Content-Type", "application/json");
     private static final String LONG_STREAM =
             "{\"prompt\":\"long\",\"max_tokens\":200,\"stream\":true}";
@@ -52,7 +52,7 @@
     void aStreamThatBreaksOffIsNeverAShortSuccess() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet()) {
             Stream stream = new Stream();
-            fleet.mCaller.send(
+            fleet.mHttpClient.send(
                     fleet.request("POST", "/v1/calls/lookup", JSON, LONG_STREAM), stream);
             stream.mBegun.await();
             fleet.mAgents[0].close();
@@ -67,7 +67,7 @@
     void aDrainingAgentFinishesItsStreamAndGetsNothingNew() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet()) {
             Stream stream = new Stream();
-            fleet.mCaller.send(
+            fleet.mHttpClient.send(
                     fleet.request("POST", "/v1/calls/lookup", JSON, LONG_STREAM), stream);
             stream.mBegun.await();
             fleet.mAgents[0].drain();
@@ -90,17 +90,17 @@
             String body =
                     "{\"class\":\"rollout\",\"version\":1,\"groups\":"
                             + "[{\"prompt\":\"p\",\"samples\":6,\"max_tokens\":8}]}";
-            fleet.ask("PUT", step, JSON, body).orThrow();
+            fleet.send("PUT", step, JSON, body).orThrow();
             awaitReady(fleet, 6);
             fleet.mAgents[0].close();
             fleet.startAgent(0);
-            fleet.awaitUsable(2);
+            fleet.awaitUsableEndpoints(2);
             String cursor = "";
             int samples = 0;
             boolean complete = false;
             while (!complete) {
                 String pull = "{\"cursor\":\"" + cursor + "\",\"version\":1,\"wait_ms\":1000}";
-                String answer = fleet.ask("POST", step + "/pull", JSON, pull).orThrow().text();
+                String answer = fleet.send("POST", step + "/pull", JSON, pull).orThrow().text();
                 samples += answer.split("\"slot\":", -1).length - 1;
                 cursor = answer.replaceAll("(?s).*\"cursor\":\"([^\"]*)\".*", "$1");
                 complete = answer.contains("\"complete\":true");
@@ -116,7 +116,7 @@
             HttpResponse reply = fleet.call("{\"prompt\":\"on\",\"max_tokens\":2}").orThrow();
             assertThat(reply.text(), containsString(":on t0 t1"));
             HttpResponse refused =
-                    fleet.ask(
+                    fleet.send(
                                     "PUT",
                                     "/v1/trainers/t/steps/1",
                                     JSON,
@@ -131,7 +131,7 @@
     private static void awaitReady(LoopbackFleet fleet, int count) {
         String dump = "";
         while (!dump.contains("\"ready\":" + count)) {
-            dump = fleet.ask("GET", "/admin/dump", Map.of(), "").orThrow().text();
+            dump = fleet.send("GET", "/admin/dump", Map.of(), "").orThrow().text();
         }
     }
 }
