--- a/bin/build.sh
+++ b/bin/build.sh
@@ -1,5 +1,7 @@
-# Shared by the scripts beside it: builds the jars into ebonyrun-client/target/lib.
+# Sourced by the other scripts in this directory.
 
+# build_if_needed ROOT: builds the jars into ebonyrun-client/target/lib if they are missing or older
+# than their sources.
 build_if_needed() {
     stamp="$1/ebonyrun-client/target/lib/.built"
     if [ -f "$stamp" ]; then
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/BenchMain.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/BenchMain.java
@@ -8,14 +8,14 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.TimeValue;
 
-/** Runs every measurement that the capacity page needs and prints it. Stateless. */
+/** Runs the benchmarks for docs/CAPACITY.md and prints their results. Stateless. */
 public final class BenchMain {
-    private static final int[] AGENTS = {16, 64, 256, 1_024, 2_048};
-    private static final int[] LOADED = {16, 64, 256};
+    private static final int[] IDLE_AGENT_COUNTS = {16, 64, 256, 1_024, 2_048};
+    private static final int[] LOADED_AGENT_COUNTS = {16, 64, 256};
 
     private BenchMain() {}
 
-    /** Runs the parts named in {@code args}, or all: decisions, entry, overhead. */
+    /** Runs the parts named in {@code args}: overhead, entry, decisions; all if none is named. */
     public static void main(String[] args)
             throws IOException, InterruptedException, RunnerException {
         List<String> parts =
@@ -23,41 +23,42 @@
         for (String part : parts) {
             switch (part) {
                 case "overhead" -> OverheadBench.run();
-                case "entry" -> entry();
-                case "decisions" -> decisions();
+                case "entry" -> runEntry();
+                case "decisions" -> runDecisions();
                 default -> throw new IllegalArgumentException("no such part: " + part);
             }
         }
         System.exit(0);
     }
 
-    private static void entry() throws IOException, InterruptedException {
+    private static void runEntry() throws IOException, InterruptedException {
         System.out.println("| agents | calls/s | cpu | link bytes/s | heap MB |");
-        List<EntryBench.Measurement> idle = EntryBench.sweep(AGENTS, false);
-        print(
+        List<EntryBench.Measurement> idle = EntryBench.sweep(IDLE_AGENT_COUNTS, false);
+        printFit(
                 "cpu in cores, idle, by agents",
                 idle,
-                r -> new LinearFit.Point(r.agents(), r.cpuShare()));
-        print(
+                m -> new LinearFit.Point(m.agents(), m.cpuShare()));
+        printFit(
                 "link bytes/s, idle, by agents",
                 idle,
-                r -> new LinearFit.Point(r.agents(), r.bytesPerSecond()));
-        print("heap bytes by agents", idle, r -> new LinearFit.Point(r.agents(), r.heapBytes()));
-        for (EntryBench.Measurement reading : EntryBench.sweep(LOADED, true)) {
+                m -> new LinearFit.Point(m.agents(), m.bytesPerSecond()));
+        printFit("heap bytes by agents", idle, m -> new LinearFit.Point(m.agents(), m.heapBytes()));
+        for (EntryBench.Measurement measurement : EntryBench.sweep(LOADED_AGENT_COUNTS, true)) {
             System.out.printf(
                     "cpu per call with %d agents: %.1f us%n",
-                    reading.agents(), reading.cpuShare() / reading.callsPerSecond() * 1e6);
+                    measurement.agents(),
+                    measurement.cpuShare() / measurement.callsPerSecond() * 1e6);
         }
     }
 
-    private static void print(
-            String what,
-            List<EntryBench.Measurement> readings,
+    private static void printFit(
+            String label,
+            List<EntryBench.Measurement> measurements,
             Function<EntryBench.Measurement, LinearFit.Point> point) {
-        System.out.println(what + ": " + LinearFit.of(readings.stream().map(point).toList()));
+        System.out.println(label + ": " + LinearFit.of(measurements.stream().map(point).toList()));
     }
 
-    private static void decisions() throws RunnerException {
+    private static void runDecisions() throws RunnerException {
         new Runner(
                         new OptionsBuilder()
                                 .include("org.ebonyrun.bench.*")
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
@@ -24,7 +24,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Time of control work, against the size of the fleet. */
+/** Time of control-plane work, by the size of the fleet. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -32,7 +32,7 @@
     private static final ServiceName SERVICE = ServiceName.of("models");
     private static final int ENTRIES_PER_ENDPOINT = 4;
 
-    /** VMs in the platform's list. */
+    /** Number of VMs in the platform's list. */
     @Param({"400", "1600", "6600"})
     public int mFleet;
 
@@ -41,7 +41,7 @@
     private WeightPlanner mPlanner;
     private long mVersion = 1;
 
-    /** Makes the fleet known. */
+    /** Creates the fleet, and a planner that holds the lease and sees every endpoint. */
     @Setup
     public void setUp() {
         for (int i = 0; i < mFleet; i++) {
@@ -54,22 +54,22 @@
                         FailureDomain.of("hall-0"),
                         ENTRIES_PER_ENDPOINT,
                         new Random(1),
-                        new NoMembership());
+                        new NoOpMembershipOutputs());
         LeaseHolder self = new LeaseHolder(VmId.of("self"), 1, "10.0.0.1", 1);
-        mPlanner = WeightPlanner.create(self, new NoPlanner());
+        mPlanner = WeightPlanner.create(self, new NoOpPlannerOutputs());
         mPlanner.onServices(List.of(SERVICE));
         mPeers.forEach(peer -> mPlanner.onVersion(peer.vm(), SERVICE, 1, true));
         mPlanner.onTick(0);
         mPlanner.onLeaseRecord(WeightPlanner.leaseKey(SERVICE), new LeaseRecord(self, 3), 0);
     }
 
-    /** Handles a reading of the platform's list. */
+    /** Handles the platform's VM list. */
     @Benchmark
     public void readList() {
         mMembership.onVmList(mPeers, 0);
     }
 
-    /** Handles the report of one endpoint that has loaded its version, among all. */
+    /** Handles the result of one endpoint that has loaded a version, out of the whole fleet. */
     @Benchmark
     public void loadResult() {
         mPlanner.onLatestVersion(SERVICE, ++mVersion, 0);
@@ -80,8 +80,8 @@
                 0);
     }
 
-    /** Does nothing. */
-    private static final class NoMembership implements MembershipOutputs {
+    /** Ignores all outputs. */
+    private static final class NoOpMembershipOutputs implements MembershipOutputs {
         @Override
         public void connect(Peer peer) {}
 
@@ -95,8 +95,8 @@
         public void setUsable(Peer peer, boolean usable) {}
     }
 
-    /** Takes every order and does nothing. */
-    private static final class NoPlanner implements PlannerOutputs {
+    /** Accepts every order and ignores all other outputs. */
+    private static final class NoOpPlannerOutputs implements PlannerOutputs {
         @Override
         public boolean sendOrder(VmId vm, WeightMessage.LoadOrder order) {
             return true;
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/DispatchBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/DispatchBench.java
@@ -27,7 +27,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Time to dispatch and close one call, against the number of known endpoints. */
+/** Time to dispatch and complete one call, by the number of connected endpoints. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -35,16 +35,16 @@
     private static final ServiceName SERVICE = ServiceName.of("models");
     private static final EndpointLoad LOAD = new EndpointLoad(8, 0, 0, 8, 1, false, false, 0);
 
-    /** Endpoints of the service that the entry is connected to. */
+    /** Number of endpoints of the service to which the entry is connected. */
     @Param({"16", "64", "256", "1024"})
     public int mEndpoints;
 
-    private final Sink mSink = new Sink();
+    private final LastOffer mLastOffer = new LastOffer();
     private Dispatcher mDispatcher;
-    private long mIds;
+    private long mLastWorkId;
 
-    /** Remembers where the last offer went. */
-    private static final class Sink implements DispatchOutputs {
+    /** Records the target and attempt of the last offer. */
+    private static final class LastOffer implements DispatchOutputs {
         private VmId mVm;
         private AttemptId mId;
 
@@ -73,11 +73,11 @@
         public void onFault(Work work, Fault fault) {}
     }
 
-    /** Makes the endpoints known. */
+    /** Registers the endpoints with the dispatcher. */
     @Setup
     public void setUp() {
         FailureDomain domain = FailureDomain.of("hall-a");
-        mDispatcher = Dispatcher.create(1, LeastLoadChooser.create(domain), mSink);
+        mDispatcher = Dispatcher.create(1, LeastLoadChooser.create(domain), mLastOffer);
         for (int i = 0; i < mEndpoints; i++) {
             VmId vm = VmId.of("vm-" + i);
             mDispatcher.setEndpointUsable(vm, SERVICE, domain, true, 0);
@@ -85,20 +85,20 @@
         }
     }
 
-    /** Submits a call, and handles its piece and end mark. */
+    /** Submits a call, and handles its one piece and its end. */
     @Benchmark
     public void call() {
-        mDispatcher.submit(work(), 0);
-        AttemptId id = mSink.mId;
-        VmId vm = mSink.mVm;
+        mDispatcher.submit(newWork(), 0);
+        AttemptId id = mLastOffer.mId;
+        VmId vm = mLastOffer.mVm;
         mDispatcher.onMessage(vm, new AttemptMessage.Piece(id, 0, new byte[64]), 1);
         mDispatcher.onMessage(
                 vm, new AttemptMessage.Done(id, 1, 200, "t", 16, WeightVersions.none(), LOAD), 2);
     }
 
-    private Work work() {
+    private Work newWork() {
         return new Work(
-                ++mIds,
+                ++mLastWorkId,
                 WorkKind.CALL,
                 SERVICE,
                 ClassName.of("lookup"),
@@ -111,7 +111,7 @@
                 "/",
                 "t",
                 new byte[256],
-                mIds,
+                mLastWorkId,
                 null,
                 0);
     }
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EmulatedAgents.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EmulatedAgents.java
@@ -23,8 +23,8 @@
 import org.ebonyrun.daemon.link.WireTypes;
 
 /**
- * Many agents behind one port: each link is an agent of its own that sends heartbeats at the
- * greatest rate and answers every offer at once. Thread safe.
+ * Emulates many agents behind one port: each link represents a separate agent, which sends
+ * heartbeats at the maximum rate and answers every offer immediately. Thread safe.
  */
 final class EmulatedAgents implements LinkListener, AutoCloseable {
     static final String SERVICE = "models";
@@ -35,8 +35,8 @@
     private static final byte[] ANSWER = "{}".getBytes(StandardCharsets.UTF_8);
 
     private final int mCount;
-    private final AtomicInteger mNext = new AtomicInteger();
-    private final Map<Link, VmId> mLinks = new ConcurrentHashMap<>();
+    private final AtomicInteger mNextIndex = new AtomicInteger();
+    private final Map<Link, VmId> mVmsByLink = new ConcurrentHashMap<>();
     private final ScheduledExecutorService mTimer = Executors.newSingleThreadScheduledExecutor();
     private final LinkTransport mTransport;
     private final int mPort;
@@ -47,7 +47,7 @@
         mTransport = LinkTransport.start("emulated", WireTypes.codec(), this);
         mPort = mTransport.listen("127.0.0.1", 0);
         mTimer.scheduleAtFixedRate(
-                this::heartbeat, HEARTBEAT_MILLIS, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
+                this::sendHeartbeats, HEARTBEAT_MILLIS, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     int port() {
@@ -55,7 +55,7 @@
     }
 
     int connectedCount() {
-        return mLinks.size();
+        return mVmsByLink.size();
     }
 
     static VmId vm(int index) {
@@ -68,8 +68,8 @@
 
     @Override
     public void onOpen(Link link) {
-        int index = Math.floorMod(mNext.getAndIncrement(), mCount);
-        mLinks.put(link, vm(index));
+        int index = Math.floorMod(mNextIndex.getAndIncrement(), mCount);
+        mVmsByLink.put(link, vm(index));
         link.send(
                 new MembershipMessage.Hello(
                         vm(index), "endpoint", SERVICE, domain(index), index, ""));
@@ -88,14 +88,14 @@
                             0,
                             WeightVersions.none(),
                             LOAD));
-        } else if (message instanceof MembershipMessage.Heartbeat beat) {
-            mConfigVersion = Math.max(mConfigVersion, beat.configVersion());
+        } else if (message instanceof MembershipMessage.Heartbeat heartbeat) {
+            mConfigVersion = Math.max(mConfigVersion, heartbeat.configVersion());
         }
     }
 
     @Override
     public void onClose(Link link) {
-        mLinks.remove(link);
+        mVmsByLink.remove(link);
     }
 
     @Override
@@ -104,8 +104,8 @@
         mTransport.close();
     }
 
-    private void heartbeat() {
-        Message beat = new MembershipMessage.Heartbeat(mConfigVersion, LOAD);
-        mLinks.keySet().forEach(link -> link.send(beat));
+    private void sendHeartbeats() {
+        Message heartbeat = new MembershipMessage.Heartbeat(mConfigVersion, LOAD);
+        mVmsByLink.keySet().forEach(link -> link.send(heartbeat));
     }
 }
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EntryBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EntryBench.java
@@ -19,16 +19,16 @@
 import org.ebonyrun.standin.platform.StandinPlatform;
 
 /**
- * Runs a real entry over loopback against emulated agents and reads the processor time of its
- * threads, the bytes on its links and its heap, against the number of agents and of calls.
+ * Runs a real entry over loopback against emulated agents and measures the CPU time of its threads,
+ * the bytes on its links and its heap, by the number of agents and calls.
  */
 final class EntryBench {
     private static final String HOST = "127.0.0.1";
-    private static final long SETTLE_MILLIS = 3_000;
+    private static final long WARM_UP_MILLIS = 3_000;
     private static final long MEASURE_MILLIS = 5_000;
     private static final long TIMEOUT_MILLIS = 5_000;
-    private static final int OPEN_CALLS = 32;
-    private static final List<String> THREADS =
+    private static final int MAX_OPEN_CALLS = 32;
+    private static final List<String> ENTRY_THREAD_PREFIXES =
             List.of("dispatch", "rollout", "config", "membership", "weights", "links", "entry");
     static final String CONFIG =
             """
@@ -44,13 +44,13 @@
     private EntryBench() {}
 
     /**
-     * What one run measured.
+     * The results of one run.
      *
-     * @param agents agents that the entry is connected to
-     * @param callsPerSecond calls that were answered in a second
-     * @param cpuShare processor time of the entry's threads, in cores
-     * @param bytesPerSecond bytes on the entry's links, both ways
-     * @param heapBytes live heap of the process after a collection
+     * @param agents number of agents to which the entry is connected
+     * @param callsPerSecond answered calls per second
+     * @param cpuShare CPU use of the entry's threads, in cores
+     * @param bytesPerSecond bytes per second on the entry's links, in both directions
+     * @param heapBytes used heap of the process after a garbage collection
      */
     record Measurement(
             int agents,
@@ -75,7 +75,7 @@
     static Measurement run(int agents, boolean load) throws IOException, InterruptedException {
         try (StandinPlatform platform = StandinPlatform.start(HOST, 0);
                 EmulatedAgents emulated = new EmulatedAgents(agents);
-                AsyncHttpClient caller = AsyncHttpClient.start()) {
+                AsyncHttpClient httpClient = AsyncHttpClient.start()) {
             for (int i = 0; i < agents; i++) {
                 platform.putVm(
                         new VmRecord(
@@ -92,26 +92,26 @@
                             new LoopbackSettings(platform.address(), agents)
                                     .entry("entry", EmulatedAgents.domain(0)))) {
                 URI address = URI.create("http://" + HOST + ":" + entry.httpPort());
-                apply(caller, address);
+                applyConfig(httpClient, address);
                 while (emulated.connectedCount() < agents) {
                     TimeUnit.MILLISECONDS.sleep(50);
                 }
-                return measure(entry, caller, address, agents, load);
+                return measure(entry, httpClient, address, agents, load);
             }
         }
     }
 
     private static Measurement measure(
-            EntryNode entry, AsyncHttpClient caller, URI address, int agents, boolean load)
+            EntryNode entry, AsyncHttpClient httpClient, URI address, int agents, boolean load)
             throws InterruptedException {
-        Semaphore open = new Semaphore(OPEN_CALLS);
+        Semaphore callPermits = new Semaphore(MAX_OPEN_CALLS);
         long[] answered = new long[1];
-        offer(caller, address, open, answered, load, SETTLE_MILLIS);
+        runLoad(httpClient, address, callPermits, answered, load, WARM_UP_MILLIS);
         long cpu = cpuNanos();
         long bytes = entry.linkBytes();
         long before = answered[0];
         long begin = System.nanoTime();
-        offer(caller, address, open, answered, load, MEASURE_MILLIS);
+        runLoad(httpClient, address, callPermits, answered, load, MEASURE_MILLIS);
         double seconds = (System.nanoTime() - begin) / 1e9;
         double cpuShare = (cpuNanos() - cpu) / 1e9 / seconds;
         double byteRate = (entry.linkBytes() - bytes) / seconds;
@@ -121,10 +121,10 @@
         return new Measurement(agents, (answered[0] - before) / seconds, cpuShare, byteRate, heap);
     }
 
-    private static void offer(
-            AsyncHttpClient caller,
+    private static void runLoad(
+            AsyncHttpClient httpClient,
             URI address,
-            Semaphore open,
+            Semaphore callPermits,
             long[] answered,
             boolean load,
             long millis)
@@ -133,7 +133,7 @@
             TimeUnit.MILLISECONDS.sleep(millis);
             return;
         }
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.json(
                         "POST",
                         URI.create(address + "/v1/calls/lookup"),
@@ -141,14 +141,15 @@
                         TIMEOUT_MILLIS);
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() < end) {
-            open.acquire();
-            caller.request(call, "bench.call")
+            callPermits.acquire();
+            httpClient
+                    .request(request, "bench.call")
                     .thenAccept(
                             result -> {
                                 if (result.fold(HttpResponse::isSuccess, fault -> false)) {
                                     answered[0]++;
                                 }
-                                open.release();
+                                callPermits.release();
                             });
         }
     }
@@ -158,32 +159,35 @@
         long sum = 0;
         for (long id : threads.getAllThreadIds()) {
             var info = threads.getThreadInfo(id);
-            boolean ours =
-                    info != null && THREADS.stream().anyMatch(info.getThreadName()::startsWith);
-            if (ours) {
+            boolean isEntryThread =
+                    info != null
+                            && ENTRY_THREAD_PREFIXES.stream()
+                                    .anyMatch(info.getThreadName()::startsWith);
+            if (isEntryThread) {
                 sum += Math.max(0, threads.getThreadCpuTime(id));
             }
         }
         return sum;
     }
 
-    private static void apply(AsyncHttpClient caller, URI address) {
+    private static void applyConfig(AsyncHttpClient httpClient, URI address) {
         URI uri = URI.create(address + "/admin/config?author=bench&expect=0");
         byte[] text = CONFIG.getBytes(StandardCharsets.UTF_8);
-        caller.request(HttpRequest.json("PUT", uri, text, TIMEOUT_MILLIS), "bench.config")
+        httpClient
+                .request(HttpRequest.json("PUT", uri, text, TIMEOUT_MILLIS), "bench.config")
                 .join()
                 .orThrow();
     }
 
-    /** Returns the readings for several numbers of agents. */
+    /** Measures an entry with each of the given numbers of agents, and prints each result. */
     static List<Measurement> sweep(int[] agents, boolean load)
             throws IOException, InterruptedException {
-        List<Measurement> readings = new ArrayList<>();
+        List<Measurement> measurements = new ArrayList<>();
         for (int count : agents) {
-            Measurement reading = run(count, load);
-            System.out.println(reading);
-            readings.add(reading);
+            Measurement measurement = run(count, load);
+            System.out.println(measurement);
+            measurements.add(measurement);
         }
-        return readings;
+        return measurements;
     }
 }
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/OverheadBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/OverheadBench.java
@@ -18,14 +18,16 @@
 import org.ebonyrun.standin.loopback.LoopbackSettings;
 import org.ebonyrun.standin.platform.StandinPlatform;
 
-/** Compares a call through entry and agent with the same call at the stand-in, in turn. */
+/**
+ * Compares the latency of a call through entry and agent with that of a direct call, alternately.
+ */
 final class OverheadBench {
     private static final String HOST = "127.0.0.1";
     private static final String SERVICE = "models";
     private static final FailureDomain DOMAIN = FailureDomain.of("hall-0");
     private static final int ENTRIES_PER_ENDPOINT = 4;
-    private static final int WARM_UP = 3_000;
-    private static final int CALLS = 5_000;
+    private static final int WARM_UP_CALLS = 3_000;
+    private static final int MEASURED_CALLS = 5_000;
     private static final long TIMEOUT_MILLIS = 5_000;
     private static final int SIGNIFICANT_DIGITS = 3;
 
@@ -35,7 +37,7 @@
     static void run() throws IOException, InterruptedException {
         try (StandinPlatform platform = StandinPlatform.start(HOST, 0);
                 StandinService service = StandinService.start("service", HOST, 0, 0);
-                AsyncHttpClient caller = AsyncHttpClient.start();
+                AsyncHttpClient httpClient = AsyncHttpClient.start();
                 AgentNode agent =
                         AgentNode.start(
                                 new LoopbackSettings(platform.address(), ENTRIES_PER_ENDPOINT)
@@ -56,39 +58,40 @@
             URI address = URI.create("http://" + HOST + ":" + entry.httpPort());
             URI config = URI.create(address + "/admin/config?author=bench&expect=0");
             byte[] text = EntryBench.CONFIG.getBytes(StandardCharsets.UTF_8);
-            caller.request(HttpRequest.json("PUT", config, text, TIMEOUT_MILLIS), "config")
+            httpClient
+                    .request(HttpRequest.json("PUT", config, text, TIMEOUT_MILLIS), "config")
                     .join()
                     .orThrow();
-            compare(caller, URI.create(address + "/v1/calls/lookup"), service.address());
+            compare(httpClient, URI.create(address + "/v1/calls/lookup"), service.address());
         }
     }
 
-    private static void compare(AsyncHttpClient caller, URI through, URI direct)
+    private static void compare(AsyncHttpClient httpClient, URI through, URI direct)
             throws InterruptedException {
-        while (!call(caller, through)) {
+        while (!call(httpClient, through)) {
             TimeUnit.MILLISECONDS.sleep(50);
         }
         Histogram throughMicros = new Histogram(SIGNIFICANT_DIGITS);
         Histogram directMicros = new Histogram(SIGNIFICANT_DIGITS);
-        for (int i = 0; i < WARM_UP + CALLS; i++) {
+        for (int i = 0; i < WARM_UP_CALLS + MEASURED_CALLS; i++) {
             long begin = System.nanoTime();
-            call(caller, through);
+            call(httpClient, through);
             long middle = System.nanoTime();
-            call(caller, direct);
+            call(httpClient, direct);
             long end = System.nanoTime();
-            if (i >= WARM_UP) {
+            if (i >= WARM_UP_CALLS) {
                 throughMicros.recordValue((middle - begin) / 1_000);
                 directMicros.recordValue((end - middle) / 1_000);
             }
         }
-        print("through entry and agent", throughMicros);
-        print("at the stand-in", directMicros);
+        printRow("through entry and agent", throughMicros);
+        printRow("at the stand-in", directMicros);
         long median =
                 throughMicros.getValueAtPercentile(50) - directMicros.getValueAtPercentile(50);
         System.out.println("overhead at the median: " + median + " us");
     }
 
-    private static void print(String name, Histogram micros) {
+    private static void printRow(String name, Histogram micros) {
         System.out.printf(
                 Locale.ROOT,
                 "| %s | %d | %d |%n",
@@ -97,9 +100,10 @@
                 micros.getValueAtPercentile(99));
     }
 
-    private static boolean call(AsyncHttpClient caller, URI uri) {
+    private static boolean call(AsyncHttpClient httpClient, URI uri) {
         byte[] body = "{}".getBytes(StandardCharsets.UTF_8);
-        return caller.request(HttpRequest.json("POST", uri, body, TIMEOUT_MILLIS), "bench.call")
+        return httpClient
+                .request(HttpRequest.json("POST", uri, body, TIMEOUT_MILLIS), "bench.call")
                 .join()
                 .fold(HttpResponse::isSuccess, fault -> false);
     }
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/StepBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/StepBench.java
@@ -36,7 +36,7 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.State;
 
-/** Time of an owner for a whole step, from submission to the last acknowledgement. */
+/** The owner's processing time for a step, from submission to the last acknowledgement. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
@@ -48,20 +48,20 @@
     private static final LeaseHolder SELF = new LeaseHolder(VmId.of("entry"), 1, "10.0.0.1", 1);
     private static final SampleInfo INFO = new SampleInfo(8, 8, WeightVersions.copyOf(List.of(1L)));
     private static final int PULL_SAMPLES = 64;
-    private static final int GROUP = 16;
+    private static final int GROUP_SIZE = 16;
     private static final long TICK_NANOS = 20_000_000;
 
-    /** Samples of the step. */
+    /** Number of samples of the step. */
     @Param({"256", "1024", "4096"})
     public int mSlots;
 
-    /** Answers every output at once, as events that wait for their turn. */
-    private static final class Loop implements RolloutOutputs {
+    /** Answers every output with an event, which waits in a queue until {@link #drain}. */
+    private static final class EventQueue implements RolloutOutputs {
         private final Queue<Runnable> mEvents = new ArrayDeque<>();
-        private final List<Work> mWorks = new ArrayList<>();
+        private final List<Work> mSubmitted = new ArrayList<>();
         private RolloutMachine mMachine;
         private StepReply mReply;
-        private long mIds;
+        private long mLastWorkId;
         private long mNow;
 
         void drain() {
@@ -96,7 +96,7 @@
 
         @Override
         public void submit(Work work) {
-            mWorks.add(work);
+            mSubmitted.add(work);
         }
 
         @Override
@@ -144,66 +144,68 @@
 
         @Override
         public long nextWorkId() {
-            return ++mIds;
+            return ++mLastWorkId;
         }
     }
 
-    /** Runs a step: submission, all samples finished, pulls of 64 samples until complete. */
+    /**
+     * Runs a step: submits it, finishes all samples, and pulls 64 samples at a time until complete.
+     */
     @Benchmark
     public int step() {
-        Loop loop = begin();
-        for (Work work : List.copyOf(loop.mWorks)) {
-            loop.mMachine.onSampleFinished(VM, sample(work), INFO, loop.mNow);
+        EventQueue queue = submitStep();
+        for (Work work : List.copyOf(queue.mSubmitted)) {
+            queue.mMachine.onSampleFinished(VM, sampleKey(work), INFO, queue.mNow);
         }
         String cursor = "";
         int pulls = 0;
         boolean complete = false;
         while (!complete) {
-            loop.mMachine.onRequest(
+            queue.mMachine.onRequest(
                     ++pulls,
                     new StepRequest.Pull(TRAINER, 1, cursor, 1, PULL_SAMPLES, 1_000),
                     false,
-                    loop.mNow);
-            loop.drain();
-            cursor = loop.mReply.cursor();
-            complete = loop.mReply.complete();
+                    queue.mNow);
+            queue.drain();
+            cursor = queue.mReply.cursor();
+            complete = queue.mReply.complete();
         }
         return pulls;
     }
 
-    /** Runs a step's submission and one second of its ticks. */
+    /** Submits a step and runs the ticks of one second (50 ticks of 20 ms). */
     @Benchmark
     public long ticksOfOneSecond() {
-        Loop loop = begin();
+        EventQueue queue = submitStep();
         for (int i = 0; i < 50; i++) {
-            loop.mNow += TICK_NANOS;
-            loop.mMachine.onTick(loop.mNow);
+            queue.mNow += TICK_NANOS;
+            queue.mMachine.onTick(queue.mNow);
         }
-        return loop.mNow;
+        return queue.mNow;
     }
 
-    private Loop begin() {
-        Loop loop = new Loop();
-        loop.mMachine =
+    private EventQueue submitStep() {
+        EventQueue queue = new EventQueue();
+        queue.mMachine =
                 RolloutMachine.create(
-                        SELF, group -> new byte[0], StragglerPolicy.hedgeTail(), loop);
+                        SELF, group -> new byte[0], StragglerPolicy.hedgeTail(), queue);
         ClassSpec spec =
                 new ClassSpec(CLASS, SERVICE, ClassKind.ROLLOUT, 0, 0, true, 2, 5_000, null);
-        loop.mMachine.onConfig(new OperatorConfig(1, Map.of(), Map.of(CLASS, spec)));
+        queue.mMachine.onConfig(new OperatorConfig(1, Map.of(), Map.of(CLASS, spec)));
         List<PromptGroup> groups = new ArrayList<>();
-        for (int i = 0; i < mSlots / GROUP; i++) {
-            groups.add(new PromptGroup("prompt " + i, GROUP, 8));
+        for (int i = 0; i < mSlots / GROUP_SIZE; i++) {
+            groups.add(new PromptGroup("prompt " + i, GROUP_SIZE, 8));
         }
         StepManifest manifest = new StepManifest(TRAINER, 1, CLASS, 1, groups);
-        loop.mMachine.onRequest(0, new StepRequest.Submit(manifest), false, loop.mNow);
-        loop.drain();
-        return loop;
+        queue.mMachine.onRequest(0, new StepRequest.Submit(manifest), false, queue.mNow);
+        queue.drain();
+        return queue;
     }
 
-    private static SampleKey sample(Work work) {
+    private static SampleKey sampleKey(Work work) {
         SampleKey key = work.sample();
         if (key == null) {
-            throw new IllegalStateException("work without a slot: " + work.id());
+            throw new IllegalStateException("work without a sample: " + work.id());
         }
         return key;
     }
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/package-info.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/package-info.java
@@ -1,4 +1,4 @@
-/** Measures the slopes from which the capacity page is worked out. */
+/** Benchmarks whose results are the basis of the capacity estimates in docs/CAPACITY.md. */
 @NullMarked
 package org.ebonyrun.bench;
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/ClientMain.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/ClientMain.java
@@ -21,7 +21,7 @@
 import org.ebonyrun.client.command.StatusCommand;
 import org.ebonyrun.client.command.StepCommand;
 
-/** The binary {@code ebonyrun}. Stateless. */
+/** Main class of the command-line client {@code ebonyrun}. Stateless. */
 public final class ClientMain {
     private static final List<Command> COMMANDS =
             List.of(
@@ -46,7 +46,7 @@
 
     private static int run(String[] args) {
         ArgumentParser parser = ArgumentParsers.newFor("ebonyrun").build();
-        parser.description("Operates ebonyrun, and calls it.")
+        parser.description("Operates ebonyrun and sends calls and steps to it.")
                 .epilog("exit status: 0 ok, 1 refused or failed, 2 usage, 3 invalid, 4 unknown");
         Subparsers parsers = parser.addSubparsers().title("commands").metavar("COMMAND");
         COMMANDS.forEach(command -> command.register(parsers));
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/AdminCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/AdminCommand.java
@@ -6,7 +6,7 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 
 /**
- * A command that sends one request to a process and prints its JSON answer.
+ * Sends one administrative request to a process and prints the JSON response.
  *
  * <p>Immutable and thread safe.
  */
@@ -23,15 +23,18 @@
         mPath = path;
     }
 
-    /** Returns the command that prints a process's state. */
+    /** Creates the command that prints the internal state of a process. */
     public static AdminCommand dump() {
         return new AdminCommand("dump", "print the state of a process", "GET", "/admin/dump");
     }
 
-    /** Returns the command that begins a graceful shutdown. */
+    /** Creates the command that starts a graceful shutdown of a process. */
     public static AdminCommand drain() {
         return new AdminCommand(
-                "drain", "let a process refuse new work and finish", "POST", "/admin/drain");
+                "drain",
+                "make a process refuse new work and finish the work it has",
+                "POST",
+                "/admin/drain");
     }
 
     @Override
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/CallCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/CallCommand.java
@@ -11,7 +11,7 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 
-/** Sends one call and prints its answer. Stateless. */
+/** Sends one call and prints the response. Stateless. */
 public final class CallCommand implements Command {
     /** Creates the command. */
     public CallCommand() {}
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Returns a body given on the command line, or the content of the file that it names. */
+    /** Returns {@code text} as UTF-8, or, if it is {@code @FILE}, the content of that file. */
     static byte[] readBody(String text) throws IOException {
         return text.startsWith("@")
                 ? Files.readAllBytes(Path.of(text.substring(1)))
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ConfigCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ConfigCommand.java
@@ -21,8 +21,8 @@
 
 /** Checks, applies and shows the operators' configuration. Stateless. */
 public final class ConfigCommand implements Command {
-    private static final String PATH = "/admin/config";
-    private static final int MAX_TRIES = 3;
+    private static final String CONFIG_PATH = "/admin/config";
+    private static final int MAX_ATTEMPTS = 3;
     private static final int DEFAULT_HISTORY = 10;
 
     /** Creates the command. */
@@ -32,16 +32,16 @@
     public void register(Subparsers parsers) {
         Subparser parser = parsers.addParser("config").help("check, apply and show configuration");
         Subparsers actions = parser.addSubparsers().title("actions").metavar("ACTION");
-        Subparser check = action(actions, "check", "check a file without a service");
+        Subparser check = action(actions, "check", "check a file without contacting a process");
         check.epilog("example: ebonyrun config check examples/carpatica.yaml");
         check.addArgument("file").help("YAML file");
-        Subparser apply = action(actions, "apply", "check a file and put it in force everywhere");
+        Subparser apply = action(actions, "apply", "check a file and apply it everywhere");
         apply.epilog("example: ebonyrun config apply examples/carpatica.yaml --author ana");
         apply.addArgument("file").help("YAML file");
-        apply.addArgument("--author").required(true).help("who applies it");
+        apply.addArgument("--author").required(true).help("who applies the file");
         apply.addArgument("--expect")
                 .type(Long.class)
-                .help("version that must be in force; default: the one that is");
+                .help("version that must be in force; default: the current one");
         RemoteProcess.addOptions(apply);
         Subparser get = action(actions, "get", "show the configuration in force");
         get.epilog("example: ebonyrun config get --at http://10.0.0.4:8080");
@@ -89,7 +89,7 @@
         try (RemoteProcess remote = RemoteProcess.open(options)) {
             Long expect = options.getLong("expect");
             if (expect == null) {
-                Result<HttpResponse> current = remote.send("GET", PATH, new byte[0]);
+                Result<HttpResponse> current = remote.send("GET", CONFIG_PATH, new byte[0]);
                 if (!isSuccess(current)) {
                     return RemoteProcess.printResponse(current, System.out);
                 }
@@ -99,30 +99,34 @@
         }
     }
 
-    /** Repeats the same change, which its nonce marks, until its outcome is known. */
+    /**
+     * Writes the configuration, and repeats the request while its outcome is unknown, at most
+     * {@link #MAX_ATTEMPTS} times in all. All requests carry the same nonce, by which the entry
+     * recognizes a repeated change.
+     */
     private static int apply(
             RemoteProcess remote, Namespace options, long expect, byte[] text, String nonce) {
         String author = URLEncoder.encode(options.getString("author"), StandardCharsets.UTF_8);
-        String path = PATH + "?author=" + author + "&expect=" + expect + "&nonce=" + nonce;
-        Result<HttpResponse> answer = remote.send("PUT", path, text);
-        for (int i = 1; i < MAX_TRIES && isUnknown(answer); i++) {
-            answer = remote.send("PUT", path, text);
+        String path = CONFIG_PATH + "?author=" + author + "&expect=" + expect + "&nonce=" + nonce;
+        Result<HttpResponse> response = remote.send("PUT", path, text);
+        for (int i = 1; i < MAX_ATTEMPTS && isUnknown(response); i++) {
+            response = remote.send("PUT", path, text);
         }
-        if (!isSuccess(answer) || options.getBoolean("json")) {
-            return RemoteProcess.printResponse(answer, System.out);
+        if (!isSuccess(response) || options.getBoolean("json")) {
+            return RemoteProcess.printResponse(response, System.out);
         }
-        JsonNode config = Json.tree(answer.orThrow().body());
+        JsonNode config = Json.tree(response.orThrow().body());
         System.out.println("version " + config.path("version").asLong() + " accepted");
         return ExitStatus.OK;
     }
 
     private static int get(Namespace options) throws IOException {
         try (RemoteProcess remote = RemoteProcess.open(options)) {
-            Result<HttpResponse> answer = remote.send("GET", PATH, new byte[0]);
-            if (!isSuccess(answer) || options.getBoolean("json")) {
-                return RemoteProcess.printResponse(answer, System.out);
+            Result<HttpResponse> response = remote.send("GET", CONFIG_PATH, new byte[0]);
+            if (!isSuccess(response) || options.getBoolean("json")) {
+                return RemoteProcess.printResponse(response, System.out);
             }
-            JsonNode config = Json.tree(answer.orThrow().body());
+            JsonNode config = Json.tree(response.orThrow().body());
             System.out.println(
                     "# version "
                             + config.path("version").asLong()
@@ -135,21 +139,22 @@
 
     private static int history(Namespace options) throws IOException {
         try (RemoteProcess remote = RemoteProcess.open(options)) {
-            Result<HttpResponse> answer = remote.send("GET", PATH, new byte[0]);
-            if (!isSuccess(answer)) {
-                return RemoteProcess.printResponse(answer, System.out);
+            Result<HttpResponse> response = remote.send("GET", CONFIG_PATH, new byte[0]);
+            if (!isSuccess(response)) {
+                return RemoteProcess.printResponse(response, System.out);
             }
-            long newest = Json.tree(answer.orThrow().body()).path("version").asLong();
+            long newest = Json.tree(response.orThrow().body()).path("version").asLong();
             long oldest = Math.max(1, newest - options.getInt("last") + 1);
             Table table = Table.withHeading("VERSION", "AUTHOR", "BYTES");
             for (long version = newest; version >= oldest; version--) {
-                Result<HttpResponse> entry = remote.send("GET", PATH + "/" + version, new byte[0]);
+                Result<HttpResponse> entry =
+                        remote.send("GET", CONFIG_PATH + "/" + version, new byte[0]);
                 if (options.getBoolean("json")) {
                     RemoteProcess.printResponse(entry, System.out);
                 } else if (isSuccess(entry)) {
                     JsonNode config = Json.tree(entry.orThrow().body());
-                    int bytes = config.path("text").asText().length();
-                    table.addRow(version, config.path("author").asText(), bytes);
+                    int length = config.path("text").asText().length();
+                    table.addRow(version, config.path("author").asText(), length);
                 }
             }
             if (!options.getBoolean("json")) {
@@ -165,7 +170,7 @@
 
     private static boolean isUnknown(Result<HttpResponse> result) {
         return result.fold(
-                reply -> RemoteProcess.exitStatus(reply) == ExitStatus.UNKNOWN,
+                response -> RemoteProcess.exitStatus(response) == ExitStatus.UNKNOWN,
                 fault -> fault.outcome() == Outcome.UNKNOWN);
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/DemoCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/DemoCommand.java
@@ -8,7 +8,7 @@
 import org.ebonyrun.client.demo.Demo;
 import org.ebonyrun.client.demo.DemoOptions;
 
-/** Runs the whole path on stand-ins in this process. Stateless. */
+/** Runs the demonstration: entries and agents on stand-ins, in this process. Stateless. */
 public final class DemoCommand implements Command {
     private static final int DEFAULT_SECONDS = 12;
     private static final int MAX_SECONDS = 30;
@@ -20,16 +20,19 @@
     public void register(Subparsers parsers) {
         Subparser parser =
                 parsers.addParser("demo")
-                        .help("run the whole path on stand-ins")
+                        .help("run entries and agents on stand-ins and check the results")
                         .epilog("example: ebonyrun demo --seed 7 --seconds 10");
         parser.setDefault("command", this);
-        parser.addArgument("--seed").type(Long.class).setDefault(1L).help("seed of the load");
+        parser.addArgument("--seed")
+                .type(Long.class)
+                .setDefault(1L)
+                .help("seed of the random load");
         parser.addArgument("--seconds")
                 .type(Integer.class)
                 .choices(Arguments.range(2, MAX_SECONDS))
                 .setDefault(DEFAULT_SECONDS)
-                .help("how long load is offered");
-        parser.addArgument("--json").action(Arguments.storeTrue()).help("report as JSON");
+                .help("duration of the load, in seconds");
+        parser.addArgument("--json").action(Arguments.storeTrue()).help("print the report as JSON");
     }
 
     @Override
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ExperimentCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ExperimentCommand.java
@@ -26,16 +26,16 @@
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 
-/** Compares policies in virtual time on both example deployments. Stateless. */
+/** Compares scheduling policies in virtual time on both example deployments. Stateless. */
 public final class ExperimentCommand implements Command {
-    private static final int SEEDS = 10;
-    private static final int SECONDS = 240;
+    private static final int DEFAULT_SEEDS = 10;
+    private static final int DEFAULT_SECONDS = 240;
     private static final int QUICK_SEEDS = 2;
     private static final int QUICK_SECONDS = 120;
     private static final double MIN_IN_TIME = 0.99;
     private static final double MAX_WASTED = 0.05;
-    private static final int WIDTH = 1_000;
-    private static final int HEIGHT = 500;
+    private static final int CHART_WIDTH = 1_000;
+    private static final int CHART_HEIGHT = 500;
 
     /** Creates the command. */
     public ExperimentCommand() {}
@@ -49,12 +49,12 @@
         parser.setDefault("command", this);
         parser.addArgument("--quick")
                 .action(Arguments.storeTrue())
-                .help("few seeds, our policy only, and fail if a target is missed");
+                .help("few seeds, the standard policy only, and fail if a target is missed");
         parser.addArgument("--ablations")
                 .action(Arguments.storeTrue())
-                .help("switch off one idea of our policy at a time");
-        parser.addArgument("--seeds").type(Integer.class).setDefault(SEEDS);
-        parser.addArgument("--seconds").type(Integer.class).setDefault(SECONDS);
+                .help("switch off one mechanism of the standard policy at a time");
+        parser.addArgument("--seeds").type(Integer.class).setDefault(DEFAULT_SEEDS);
+        parser.addArgument("--seconds").type(Integer.class).setDefault(DEFAULT_SECONDS);
         parser.addArgument("--write").help("write JSON, Markdown and SVG files with this prefix");
     }
 
@@ -104,8 +104,8 @@
             if (mean.wasted() > MAX_WASTED) {
                 missed.add(name + ": wasted " + mean.wasted());
             }
-            long bound = deployment(row).stalenessVersions();
-            if (mean.maxAge() > bound) {
+            long maxAge = deployment(row).stalenessVersions();
+            if (mean.maxAge() > maxAge) {
                 missed.add(name + ": a sample is " + mean.maxAge() + " versions old");
             }
         }
@@ -168,18 +168,18 @@
 
     private static void plot(List<Row> rows, Deployment deployment, String file)
             throws IOException {
-        List<Row> ours =
+        List<Row> deploymentRows =
                 rows.stream().filter(r -> r.deployment().equals(deployment.name())).toList();
         CategoryChart chart =
                 new CategoryChartBuilder()
-                        .width(WIDTH)
-                        .height(HEIGHT)
+                        .width(CHART_WIDTH)
+                        .height(CHART_HEIGHT)
                         .title(deployment.name() + ": trainer idle time per step")
                         .xAxisTitle("scenario")
                         .yAxisTitle("seconds")
                         .build();
         Map<String, List<Row>> byPolicy =
-                ours.stream()
+                deploymentRows.stream()
                         .collect(
                                 Collectors.groupingBy(
                                         Row::policy, LinkedHashMap::new, Collectors.toList()));
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ExplainCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ExplainCommand.java
@@ -18,14 +18,15 @@
 import org.ebonyrun.client.explain.LogEvent;
 import org.ebonyrun.client.explain.StepSummary;
 
-/** Tells from the logs of entries what trainers and callers waited for. Stateless. */
+/** Reports from entry logs how long trainers and callers waited, and for what. Stateless. */
 public final class ExplainCommand implements Command {
     private static final long DEFAULT_LATE_MILLIS = 500;
-    private static final double HALF = 0.5;
-    private static final double MOST = 0.9;
-    private static final double ALL = 1;
-    // A step that follows its version by less than this was asked when the version was named.
-    private static final long AT_ONCE_MILLIS = 300;
+    private static final double MEDIAN_SHARE = 0.5;
+    private static final double MOST_SHARE = 0.9;
+    private static final double FULL_SHARE = 1;
+    // A step accepted within this time after its version was named had been waiting for the version
+    // ("its version"); a later one was submitted at the trainer's own time ("its time").
+    private static final long MAX_START_DELAY_MILLIS = 300;
     private static final double MILLIS_PER_SECOND = 1_000;
 
     /** Creates the command. */
@@ -35,10 +36,12 @@
     public void register(Subparsers parsers) {
         Subparser parser =
                 parsers.addParser("explain")
-                        .help("tell from logs of entries what trainers and callers waited for")
+                        .help("show from logs of entries what trainers and callers waited for")
                         .epilog("example: ebonyrun explain entry-1.log entry-2.log");
         parser.setDefault("command", this);
-        parser.addArgument("log").nargs("+").help("file of log lines; a process's name may lead");
+        parser.addArgument("log")
+                .nargs("+")
+                .help("file of log lines; the process name may precede each line");
         parser.addArgument("--late-ms")
                 .type(Long.class)
                 .setDefault(DEFAULT_LATE_MILLIS)
@@ -55,26 +58,26 @@
             }
         }
         if (events.isEmpty()) {
-            System.err.println("no log line of an entry in " + options.getList("log"));
+            System.err.println("no log event of an entry in " + options.getList("log"));
             return ExitStatus.FAILED;
         }
         System.out.print(formatReport(LogAnalysis.of(events), options.getLong("late_ms")));
         return ExitStatus.OK;
     }
 
-    /** Returns the page that the command prints; times are in seconds after the first line. */
-    static String formatReport(LogAnalysis story, long lateMillis) {
-        List<Long> gap = story.longestOrderGap();
-        return steps(story)
+    /** Formats the report; times are in seconds after the first event. */
+    static String formatReport(LogAnalysis analysis, long lateMillis) {
+        List<Long> gap = analysis.longestOrderGap();
+        return formatSteps(analysis)
                 + "\nlongest time without an order: "
-                + seconds(story, gap.get(0))
+                + seconds(analysis, gap.get(0))
                 + " to "
-                + seconds(story, gap.get(1))
+                + seconds(analysis, gap.get(1))
                 + " s\n\n"
-                + calls(story, lateMillis);
+                + formatCalls(analysis, lateMillis);
     }
 
-    private static String steps(LogAnalysis story) {
+    private static String formatSteps(LogAnalysis analysis) {
         Table table =
                 Table.withHeading(
                         "trainer",
@@ -90,19 +93,19 @@
                         "owners",
                         "unsent",
                         "other runs");
-        for (StepSummary step : story.steps()) {
-            OptionalLong named = story.versionNamedAt(step.model(), step.number());
+        for (StepSummary step : analysis.steps()) {
+            OptionalLong named = analysis.versionNamedAt(step.model(), step.number());
             table.addRow(
                     step.model(),
                     step.number(),
                     step.sampleCount(),
-                    seconds(story, named),
-                    seconds(story, step.acceptedAt()),
-                    isAtOnce(step, named) ? "its version" : "its time",
-                    seconds(story, step.completedAt(HALF)),
-                    seconds(story, step.completedAt(MOST)),
-                    seconds(story, step.completedAt(ALL)),
-                    seconds(story, step.endedAt()),
+                    seconds(analysis, named),
+                    seconds(analysis, step.acceptedAt()),
+                    waitedForVersion(step, named) ? "its version" : "its time",
+                    seconds(analysis, step.completedAt(MEDIAN_SHARE)),
+                    seconds(analysis, step.completedAt(MOST_SHARE)),
+                    seconds(analysis, step.completedAt(FULL_SHARE)),
+                    seconds(analysis, step.endedAt()),
                     step.ownerCount(),
                     step.unsentSamples(),
                     step.failedRuns());
@@ -110,16 +113,16 @@
         return table.toString();
     }
 
-    private static boolean isAtOnce(StepSummary step, OptionalLong named) {
-        return named.isPresent() && step.acceptedAt() - named.getAsLong() < AT_ONCE_MILLIS;
+    private static boolean waitedForVersion(StepSummary step, OptionalLong named) {
+        return named.isPresent() && step.acceptedAt() - named.getAsLong() < MAX_START_DELAY_MILLIS;
     }
 
-    private static String calls(LogAnalysis story, long lateMillis) {
+    private static String formatCalls(LogAnalysis analysis, long lateMillis) {
         Table table = Table.withHeading("call", "sent", "ms", "attempts", "failure");
-        for (CallSummary call : story.lateOrFailedCalls(lateMillis)) {
+        for (CallSummary call : analysis.lateOrFailedCalls(lateMillis)) {
             table.addRow(
                     call.requestId(),
-                    seconds(story, call.sentAt()),
+                    seconds(analysis, call.sentAt()),
                     call.durationMillis(),
                     String.join(" ", call.attemptOutcomes()),
                     call.failure());
@@ -129,11 +132,12 @@
                 : "no call failed or took longer than " + lateMillis + " ms\n";
     }
 
-    private static String seconds(LogAnalysis story, OptionalLong at) {
-        return at.isPresent() ? seconds(story, at.getAsLong()) : "-";
+    private static String seconds(LogAnalysis analysis, OptionalLong at) {
+        return at.isPresent() ? seconds(analysis, at.getAsLong()) : "-";
     }
 
-    private static String seconds(LogAnalysis story, long at) {
-        return String.format(Locale.ROOT, "%.2f", (at - story.beginMillis()) / MILLIS_PER_SECOND);
+    private static String seconds(LogAnalysis analysis, long at) {
+        return String.format(
+                Locale.ROOT, "%.2f", (at - analysis.beginMillis()) / MILLIS_PER_SECOND);
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/FaultsCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/FaultsCommand.java
@@ -17,15 +17,15 @@
 import org.ebonyrun.standin.virtual.FaultKind;
 import org.ebonyrun.standin.virtual.InjectionPoint;
 
-/** Runs the fault matrix and a sweep of pairs in virtual time. Stateless. */
+/** Runs the fault matrix and random pairs of faults in virtual time. Stateless. */
 public final class FaultsCommand implements Command {
     private static final int DEFAULT_PAIRS = 500;
-    private static final int MAX_SHOWN = 20;
+    private static final int MAX_PRINTED = 20;
 
     /** Creates the command. */
     public FaultsCommand() {}
 
-    /** A cell's outcomes, one for each occurrence that was tried. */
+    /** The outcomes of a cell, one for each occurrence of its step that was hit. */
     private record CellResult(FaultMatrix.Cell cell, List<FaultOutcome> outcomes) {
         boolean isKept() {
             return outcomes.stream().allMatch(FaultOutcome::hasPassed);
@@ -36,11 +36,14 @@
     public void register(Subparsers parsers) {
         Subparser parser =
                 parsers.addParser("faults")
-                        .help("run every fault at every step, and pairs, in virtual time")
+                        .help("run every fault at every step, and pairs of faults, in virtual time")
                         .epilog("example: ebonyrun faults --pairs 1000 --write docs/FAULTS.md");
         parser.setDefault("command", this);
         parser.addArgument("--pairs").type(Integer.class).setDefault(DEFAULT_PAIRS);
-        parser.addArgument("--first-pair").type(Long.class).setDefault(0L).help("first seed");
+        parser.addArgument("--first-pair")
+                .type(Long.class)
+                .setDefault(0L)
+                .help("seed of the first pair");
         parser.addArgument("--write").help("write the matrix to this Markdown file");
         parser.addArgument("--check").help("fail if this Markdown file differs from the matrix");
     }
@@ -57,11 +60,11 @@
                         .parallel()
                         .mapToObj(FaultMatrix::runPair)
                         .collect(Collectors.toList());
-        List<String> broken = broken(cells, pairs, first);
-        broken.stream().limit(MAX_SHOWN).forEach(System.out::println);
+        List<String> broken = listBroken(cells, pairs, first);
+        broken.stream().limit(MAX_PRINTED).forEach(System.out::println);
         System.out.println(
                 cells.size() + " cells, " + pairs.size() + " pairs, " + broken.size() + " broken");
-        String page = page(cells);
+        String page = formatPage(cells);
         if (options.getString("write") != null) {
             Files.writeString(Path.of(options.getString("write")), page);
         }
@@ -69,7 +72,7 @@
                 options.getString("check") != null
                         && !Files.readString(Path.of(options.getString("check"))).equals(page);
         if (stale) {
-            System.out.println(options.getString("check") + " is not what this run gives");
+            System.out.println(options.getString("check") + " differs from the matrix of this run");
         }
         return broken.isEmpty() && !stale ? ExitStatus.OK : ExitStatus.FAILED;
     }
@@ -82,13 +85,14 @@
         return new CellResult(cell, outcomes);
     }
 
-    private static List<String> broken(
+    private static List<String> listBroken(
             List<CellResult> cells, List<FaultOutcome> pairs, long firstPair) {
         List<String> broken = new ArrayList<>();
         for (CellResult result : cells) {
             for (FaultOutcome outcome : result.outcomes()) {
                 if (!outcome.hasPassed()) {
-                    broken.add(result.cell() + " seed " + outcome.seed() + " " + first(outcome));
+                    broken.add(
+                            result.cell() + " seed " + outcome.seed() + " " + firstBroken(outcome));
                 }
             }
         }
@@ -96,17 +100,21 @@
             if (!pairs.get(i).hasPassed()) {
                 long seed = firstPair + i;
                 broken.add(
-                        "pair " + seed + " " + FaultMatrix.faultPair(seed) + first(pairs.get(i)));
+                        "pair "
+                                + seed
+                                + " "
+                                + FaultMatrix.faultPair(seed)
+                                + firstBroken(pairs.get(i)));
             }
         }
         return broken;
     }
 
-    private static List<String> first(FaultOutcome outcome) {
+    private static List<String> firstBroken(FaultOutcome outcome) {
         return outcome.violations().stream().limit(3).toList();
     }
 
-    private static String page(List<CellResult> results) {
+    private static String formatPage(List<CellResult> results) {
         Map<FaultMatrix.Cell, CellResult> byCell = new LinkedHashMap<>();
         results.forEach(result -> byCell.put(result.cell(), result));
         StringBuilder text = new StringBuilder();
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/RemoteProcess.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/RemoteProcess.java
@@ -15,20 +15,20 @@
 import org.ebonyrun.ports.http.HttpRequest;
 import org.ebonyrun.ports.http.HttpResponse;
 
-/** One process that a command talks to. Not thread safe; used by one command. */
+/** HTTP client for the process that a command addresses. Not thread safe; used by one command. */
 final class RemoteProcess implements AutoCloseable {
     private static final String DEFAULT_ADDRESS = "http://127.0.0.1:8080";
     private static final long TIMEOUT_MILLIS = 40_000;
 
-    private final AsyncHttpClient mCaller;
+    private final AsyncHttpClient mHttpClient;
     private final URI mAddress;
 
-    private RemoteProcess(AsyncHttpClient caller, URI address) {
-        mCaller = caller;
+    private RemoteProcess(AsyncHttpClient httpClient, URI address) {
+        mHttpClient = httpClient;
         mAddress = address;
     }
 
-    /** Adds the options that name the process and the form of the output. */
+    /** Adds the options for the address of the process and the format of the output. */
     static void addOptions(Subparser parser) {
         parser.addArgument("--at")
                 .setDefault(DEFAULT_ADDRESS)
@@ -36,40 +36,43 @@
         parser.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
     }
 
-    /** Opens the process that the options name. */
+    /** Creates a client for the address in the options. */
     static RemoteProcess open(Namespace options) throws IOException {
         return new RemoteProcess(AsyncHttpClient.start(), URI.create(options.getString("at")));
     }
 
-    /** Sends a request and waits for the whole answer. */
+    /** Sends a JSON request and waits for the complete response. */
     Result<HttpResponse> send(String method, String path, byte[] body) {
         return send(method, path, Map.of("Content-Type", "application/json"), body);
     }
 
-    /** Sends a request with headers and waits for the whole answer. */
+    /** Sends a request with the given headers and waits for the complete response. */
     Result<HttpResponse> send(
             String method, String path, Map<String, String> headers, byte[] body) {
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.to(method, URI.create(mAddress + path), headers, body, TIMEOUT_MILLIS);
-        return mCaller.request(call, "client." + method).join();
+        return mHttpClient.request(request, "client." + method).join();
     }
 
     @Override
     public void close() {
-        mCaller.close();
+        mHttpClient.close();
     }
 
-    /** Prints an answer as it came, and returns the exit status for it. */
+    /**
+     * Prints the body of a response unchanged, or the fault, and returns the corresponding exit
+     * status.
+     */
     static int printResponse(Result<HttpResponse> result, PrintStream out) {
         return result.fold(
-                reply -> {
-                    (reply.isSuccess() ? out : System.err).println(reply.text());
-                    return exitStatus(reply);
+                response -> {
+                    (response.isSuccess() ? out : System.err).println(response.text());
+                    return exitStatus(response);
                 },
                 RemoteProcess::printFault);
     }
 
-    /** Prints a fault of the connection and returns the exit status for it. */
+    /** Prints a fault and returns the corresponding exit status. */
     static int printFault(Fault fault) {
         System.err.println(
                 "ebonyrun: "
@@ -81,19 +84,19 @@
         return fault.outcome() == Outcome.UNKNOWN ? ExitStatus.UNKNOWN : ExitStatus.FAILED;
     }
 
-    /** Returns the exit status for an answer. */
-    static int exitStatus(HttpResponse reply) {
-        if (reply.isSuccess()) {
+    /** Returns the exit status that corresponds to a response. */
+    static int exitStatus(HttpResponse response) {
+        if (response.isSuccess()) {
             return ExitStatus.OK;
         }
-        return outcome(reply).equals(Outcome.UNKNOWN.wireName())
+        return outcome(response).equals(Outcome.UNKNOWN.wireName())
                 ? ExitStatus.UNKNOWN
                 : ExitStatus.FAILED;
     }
 
-    private static String outcome(HttpResponse reply) {
+    private static String outcome(HttpResponse response) {
         try {
-            return Json.tree(reply.body()).path("error").path("outcome").asText();
+            return Json.tree(response.body()).path("error").path("outcome").asText();
         } catch (IllegalArgumentException e) {
             return "";
         }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StandinCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StandinCommand.java
@@ -18,12 +18,12 @@
 import org.ebonyrun.standin.engine.StandinService;
 import org.ebonyrun.standin.platform.StandinPlatform;
 
-/** Runs one stand-in of the platform or of an endpoint as a process of its own. Stateless. */
+/** Runs one stand-in of the platform or of an endpoint in this process. Stateless. */
 public final class StandinCommand implements Command {
     private static final String LOOPBACK = "127.0.0.1";
-    private static final int SLOTS = 8;
+    private static final int DEFAULT_SLOTS = 8;
     private static final int TOKENS_PER_CHUNK = 4;
-    private static final int CHUNK_MILLIS = 10;
+    private static final int DEFAULT_CHUNK_MILLIS = 10;
     private static final int SWAP_MILLIS = 150;
     private static final int SERVICE_MILLIS = 3;
 
@@ -40,9 +40,9 @@
         parser.addArgument("kind").choices("platform", "engine", "service");
         parser.addArgument("--listen").required(true).help("loopback address, host:port");
         parser.addArgument("--vms").help("JSON file with the list of VMs; platform only");
-        parser.addArgument("--name").setDefault("standin").help("name in run ids");
-        parser.addArgument("--slots").type(Integer.class).setDefault(SLOTS);
-        parser.addArgument("--chunk-ms").type(Integer.class).setDefault(CHUNK_MILLIS);
+        parser.addArgument("--name").setDefault("standin").help("name that run ids start with");
+        parser.addArgument("--slots").type(Integer.class).setDefault(DEFAULT_SLOTS);
+        parser.addArgument("--chunk-ms").type(Integer.class).setDefault(DEFAULT_CHUNK_MILLIS);
     }
 
     @Override
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StatusCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StatusCommand.java
@@ -9,7 +9,7 @@
 import org.ebonyrun.daemon.store.Json;
 import org.ebonyrun.ports.http.HttpResponse;
 
-/** Shows classes against their targets, endpoints and steps as one entry sees them. Stateless. */
+/** Shows classes with their targets, endpoints and steps, from the view of one entry. Stateless. */
 public final class StatusCommand implements Command {
     /** Creates the command. */
     public StatusCommand() {}
@@ -27,27 +27,27 @@
     @Override
     public int run(Namespace options) throws IOException {
         try (RemoteProcess remote = RemoteProcess.open(options)) {
-            Result<HttpResponse> answer = remote.send("GET", "/admin/status", new byte[0]);
-            boolean table = answer.fold(HttpResponse::isSuccess, fault -> false);
-            if (!table || options.getBoolean("json")) {
-                return RemoteProcess.printResponse(answer, System.out);
+            Result<HttpResponse> response = remote.send("GET", "/admin/status", new byte[0]);
+            boolean success = response.fold(HttpResponse::isSuccess, fault -> false);
+            if (!success || options.getBoolean("json")) {
+                return RemoteProcess.printResponse(response, System.out);
             }
-            print(Json.tree(answer.orThrow().body()));
+            print(Json.tree(response.orThrow().body()));
             return ExitStatus.OK;
         }
     }
 
-    private static void print(JsonNode state) {
+    private static void print(JsonNode status) {
         System.out.println(
-                state.path("vm").asText()
+                status.path("vm").asText()
                         + " in "
-                        + state.path("failure_domain").asText()
+                        + status.path("failure_domain").asText()
                         + ", configuration version "
-                        + state.path("config_version").asLong()
-                        + (state.path("draining").asBoolean() ? ", draining" : ""));
+                        + status.path("config_version").asLong()
+                        + (status.path("draining").asBoolean() ? ", draining" : ""));
         Table classes =
                 Table.withHeading("CLASS", "CALLS", "IN TIME", "TARGET", "REFUSED", "SHORTFALL");
-        for (JsonNode row : state.path("classes")) {
+        for (JsonNode row : status.path("classes")) {
             classes.addRow(
                     row.path("name").asText(),
                     row.path("calls").asLong(),
@@ -59,7 +59,7 @@
         print(classes);
         Table endpoints =
                 Table.withHeading("ENDPOINT", "SERVICE", "USABLE", "RUNNING", "SLOTS", "VERSION");
-        for (JsonNode row : state.path("dispatch").path("endpoints")) {
+        for (JsonNode row : status.path("dispatch").path("endpoints")) {
             JsonNode load = row.path("load");
             endpoints.addRow(
                     row.path("vm").asText(),
@@ -71,7 +71,7 @@
         }
         print(endpoints);
         Table steps = Table.withHeading("TRAINER", "STEP", "SLOTS", "DELIVERED", "READY", "STALE");
-        for (JsonNode row : state.path("steps")) {
+        for (JsonNode row : status.path("steps")) {
             steps.addRow(
                     row.path("trainer").asText(),
                     row.path("step").asLong(),
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StepCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StepCommand.java
@@ -6,9 +6,9 @@
 import net.sourceforge.argparse4j.inf.Subparsers;
 import org.ebonyrun.daemon.store.Json;
 
-/** Submits a trainer's step, pulls its samples, or cancels it. Stateless. */
+/** Submits, pulls or cancels a step of a trainer. Stateless. */
 public final class StepCommand implements Command {
-    private static final int DEFAULT_MAX = 64;
+    private static final int DEFAULT_MAX_SAMPLES = 64;
     private static final int DEFAULT_WAIT_MILLIS = 5_000;
 
     /** Creates the command. */
@@ -24,10 +24,10 @@
         Subparser pull = action(actions, "pull", "pull finished samples");
         pull.epilog("example: ebonyrun step pull pad-model 7 --version 4 --cursor ''");
         pull.addArgument("--version").type(Long.class).required(true).help("the trainer's version");
-        pull.addArgument("--cursor").setDefault("").help("cursor of the answer before");
-        pull.addArgument("--max").type(Integer.class).setDefault(DEFAULT_MAX);
+        pull.addArgument("--cursor").setDefault("").help("cursor from the previous response");
+        pull.addArgument("--max").type(Integer.class).setDefault(DEFAULT_MAX_SAMPLES);
         pull.addArgument("--wait-ms").type(Integer.class).setDefault(DEFAULT_WAIT_MILLIS);
-        Subparser cancel = action(actions, "cancel", "give a step up");
+        Subparser cancel = action(actions, "cancel", "cancel a step");
         cancel.epilog("example: ebonyrun step cancel pad-model 7");
     }
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/Table.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/Table.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table for people, with columns as wide as their widest cell. Not thread safe. */
+/** Formats a plain-text table with columns as wide as their widest cell. Not thread safe. */
 final class Table {
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     private final List<List<String>> mRows = new ArrayList<>();
 
@@ -16,7 +16,7 @@
         return table;
     }
 
-    /** Adds a row with as many cells as the heading. */
+    /** Adds a row, which must have as many cells as the heading. */
     Table addRow(Object... cells) {
         List<String> row = new ArrayList<>();
         for (Object cell : cells) {
@@ -37,7 +37,7 @@
         for (List<String> row : mRows) {
             StringBuilder line = new StringBuilder();
             for (int i = 0; i < row.size(); i++) {
-                line.append(pad(row.get(i), width(i))).append(GAP);
+                line.append(pad(row.get(i), width(i))).append(COLUMN_SEPARATOR);
             }
             text.append(line.toString().stripTrailing()).append('\n');
         }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/CallResults.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/CallResults.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** What the demonstration's callers saw. Thread safe. */
+/** Counters, latencies and keys of the calls of the demonstration. Thread safe. */
 final class CallResults {
     private static final int SIGNIFICANT_DIGITS = 3;
 
@@ -18,18 +18,18 @@
     final List<String> mSyncAnswered = new CopyOnWriteArrayList<>();
     final List<String> mSyncNotRun = new CopyOnWriteArrayList<>();
     final List<String> mSyncUnknown = new CopyOnWriteArrayList<>();
-    private final Histogram mMicros = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
+    private final Histogram mLatencyMicros = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
 
     void recordAnswer(long nanos, long targetMillis) {
         mAnswered.incrementAndGet();
-        mMicros.recordValue(nanos / 1_000);
+        mLatencyMicros.recordValue(nanos / 1_000);
         if (nanos > targetMillis * 1_000_000) {
             mLate.incrementAndGet();
         }
     }
 
-    /** Returns a quantile of the time to the whole answer, in milliseconds. */
+    /** Returns a quantile of the time to the complete response, in milliseconds. */
     double latencyMillis(double quantile) {
-        return mMicros.getValueAtPercentile(quantile * 100) / 1_000.0;
+        return mLatencyMicros.getValueAtPercentile(quantile * 100) / 1_000.0;
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/Demo.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/Demo.java
@@ -12,21 +12,21 @@
 public final class Demo {
     private static final TrainerSettings TRAINER =
             new TrainerSettings("pad-model", "pad-order", DemoFleet.MODEL_SERVICE, 8, 4, 120, 300);
-    private static final long STEP_END_MILLIS = 20_000;
+    private static final long TRAINER_STOP_MILLIS = 20_000;
     private static final int CRASHED_ENGINE = 1;
 
     private Demo() {}
 
-    /** Runs the demonstration and returns whether every promise was kept. */
+    /** Runs the demonstration and returns whether every guarantee was kept. */
     public static boolean run(DemoOptions options, PrintStream out)
             throws IOException, InterruptedException {
         progress(options, out, "starting 2 entries, 4 engines and 2 plain services");
-        DemoReport report = play(options, out);
+        DemoReport report = runLoad(options, out);
         print(options, out, report);
         return report.broken().isEmpty();
     }
 
-    private static DemoReport play(DemoOptions options, PrintStream out)
+    private static DemoReport runLoad(DemoOptions options, PrintStream out)
             throws IOException, InterruptedException {
         CallResults calls = new CallResults();
         try (DemoFleet fleet = DemoFleet.start();
@@ -42,15 +42,16 @@
             training.setDaemon(true);
             training.start();
             load.start();
-            offer(options, out, fleet, trainer);
+            awaitLoadEnd(options, out, fleet, trainer);
             load.finish();
             trainer.stop();
-            training.join(STEP_END_MILLIS);
+            training.join(TRAINER_STOP_MILLIS);
             return new DemoAudit(fleet, calls, trainer).createReport();
         }
     }
 
-    private static void offer(
+    /** Waits until the duration of the load has passed; crashes an engine half-way. */
+    private static void awaitLoadEnd(
             DemoOptions options, PrintStream out, DemoFleet fleet, StandinTrainer trainer)
             throws InterruptedException {
         for (int second = 1; second <= options.seconds(); second++) {
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoAudit.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoAudit.java
@@ -13,21 +13,21 @@
 import org.ebonyrun.standin.trainer.StandinTrainer;
 
 /**
- * Compares what callers and trainers got with what the stand-ins' own logs say was run.
+ * Compares the responses that callers and trainers received with the runs in the stand-ins' logs.
  *
  * <p>Not thread safe; used after the load has ended.
  */
 final class DemoAudit {
-    private static final long STALENESS_BOUND = 2;
+    private static final long MAX_AGE_VERSIONS = 2;
 
-    private final CallResults mCalls;
+    private final CallResults mCallResults;
     private final StandinTrainer mTrainer;
     private final Map<String, EngineRun> mRuns = new HashMap<>();
     private final Map<String, Integer> mSyncRuns = new HashMap<>();
     private final List<String> mBroken = new ArrayList<>();
 
     DemoAudit(DemoFleet fleet, CallResults calls, StandinTrainer trainer) {
-        mCalls = calls;
+        mCallResults = calls;
         mTrainer = trainer;
         for (StandinEngine engine : fleet.engines()) {
             engine.log().forEach(run -> mRuns.put(run.runId(), run));
@@ -40,22 +40,24 @@
     DemoReport createReport() {
         long twice = checkSyncs();
         long duplicates = checkSamples();
-        long missing = missing();
-        check(mCalls.mWrongAnswers.isEmpty(), "wrong or partial answers: " + mCalls.mWrongAnswers);
+        long missing = countMissing();
+        check(
+                mCallResults.mWrongAnswers.isEmpty(),
+                "wrong or partial answers: " + mCallResults.mWrongAnswers);
         check(missing == 0, missing + " samples are missing");
         check(mTrainer.completedSteps() > 0, "no step was completed: " + mTrainer.lastError());
-        check(mCalls.mAnswered.get() > 0, "no call was answered");
+        check(mCallResults.mAnswered.get() > 0, "no call was answered");
         List<Long> idle = mTrainer.idleMillis();
         return new DemoReport(
-                mCalls.mAnswered.get(),
-                mCalls.mLate.get(),
-                mCalls.mRefused.get(),
-                mCalls.mFailed.get(),
-                mCalls.latencyMillis(0.5),
-                mCalls.latencyMillis(0.99),
-                mCalls.mSyncAnswered.size()
-                        + mCalls.mSyncNotRun.size()
-                        + mCalls.mSyncUnknown.size(),
+                mCallResults.mAnswered.get(),
+                mCallResults.mLate.get(),
+                mCallResults.mRefused.get(),
+                mCallResults.mFailed.get(),
+                mCallResults.latencyMillis(0.5),
+                mCallResults.latencyMillis(0.99),
+                mCallResults.mSyncAnswered.size()
+                        + mCallResults.mSyncNotRun.size()
+                        + mCallResults.mSyncUnknown.size(),
                 mSyncRuns.size(),
                 twice,
                 mTrainer.completedSteps(),
@@ -69,11 +71,13 @@
 
     private long checkSyncs() {
         long twice = mSyncRuns.values().stream().filter(count -> count > 1).count();
-        check(twice == 0, twice + " syncs ran twice");
-        for (String key : mCalls.mSyncNotRun) {
-            check(!mSyncRuns.containsKey(key), key + " ran although it was called not run");
+        check(twice == 0, twice + " syncs ran more than once");
+        for (String key : mCallResults.mSyncNotRun) {
+            check(
+                    !mSyncRuns.containsKey(key),
+                    key + " ran although its response said that it had not run");
         }
-        for (String key : mCalls.mSyncAnswered) {
+        for (String key : mCallResults.mSyncAnswered) {
             check(mSyncRuns.containsKey(key), key + " was answered but did not run");
         }
         return twice;
@@ -89,42 +93,48 @@
             }
             checkSample(slot, sample);
         }
-        check(duplicates == 0, duplicates + " samples came twice");
+        check(duplicates == 0, duplicates + " samples arrived more than once");
         return duplicates;
     }
 
     private void checkSample(String slot, ReceivedSample sample) {
-        check(sample.age() <= STALENESS_BOUND, slot + " is " + sample.age() + " versions old");
+        check(sample.age() <= MAX_AGE_VERSIONS, slot + " is " + sample.age() + " versions old");
         check(sample.scored(), slot + " has no score");
         String runId = sample.text().substring(0, Math.max(0, sample.text().indexOf(':')));
         EngineRun run = mRuns.get(runId);
-        check(run != null, slot + " is of no run of any engine");
+        check(run != null, slot + " belongs to no run of any engine");
         if (run != null) {
-            boolean named = run.versions().equals(sample.versions());
-            check(named, slot + " names " + sample.versions() + " but ran on " + run.versions());
-            boolean whole =
+            boolean versionsMatch = run.versions().equals(sample.versions());
+            check(
+                    versionsMatch,
+                    slot
+                            + " names versions "
+                            + sample.versions()
+                            + " but ran on "
+                            + run.versions());
+            boolean complete =
                     DemoLoad.isCompleteAnswer(
                             sample.text(), run.prompt(), mTrainer.settings().maxTokens());
-            check(whole && run.finished(), slot + " is not whole");
+            check(complete && run.finished(), slot + " is incomplete");
         }
     }
 
-    private long missing() {
-        Map<Long, Set<Integer>> bySteps = new HashMap<>();
+    private long countMissing() {
+        Map<Long, Set<Integer>> slotsByStep = new HashMap<>();
         for (ReceivedSample sample : mTrainer.samples()) {
-            bySteps.computeIfAbsent(sample.step(), key -> new HashSet<>()).add(sample.slot());
+            slotsByStep.computeIfAbsent(sample.step(), key -> new HashSet<>()).add(sample.slot());
         }
         long missing = 0;
         for (long step = 0; step < mTrainer.completedSteps(); step++) {
-            int got = bySteps.getOrDefault(step, Set.of()).size();
-            missing += mTrainer.settings().samplesPerStep() - got;
+            int received = slotsByStep.getOrDefault(step, Set.of()).size();
+            missing += mTrainer.settings().samplesPerStep() - received;
         }
         return missing;
     }
 
-    private void check(boolean holds, String broken) {
-        if (!holds) {
-            mBroken.add(broken);
+    private void check(boolean condition, String violation) {
+        if (!condition) {
+            mBroken.add(violation);
         }
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoFleet.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoFleet.java
@@ -24,10 +24,11 @@
 import org.ebonyrun.standin.platform.StandinPlatform;
 
 /**
- * The demonstration's processes, all in this one: 2 entries, 4 engines and 2 plain services in 3
- * failure domains, with an agent beside each endpoint, and a platform. Real sockets join them.
+ * The components of the demonstration: 2 entries, 4 engines and 2 plain services in 3 failure
+ * domains, with an agent beside each endpoint, and a stand-in of the platform. All run in this
+ * process and communicate over real sockets.
  *
- * <p>Not thread safe while it starts; afterwards thread safe.
+ * <p>Not thread safe during the start, thread safe afterwards.
  */
 final class DemoFleet implements AutoCloseable {
     static final String MODEL_SERVICE = "model-servers";
@@ -39,15 +40,15 @@
     private static final int SERVICES = 2;
     private static final int DOMAINS = 3;
     private static final int ENTRIES_PER_ENDPOINT = 4;
-    private static final int SLOTS = 8;
+    private static final int SLOTS_PER_ENGINE = 8;
     private static final int TOKENS_PER_CHUNK = 4;
     private static final long CHUNK_MILLIS = 10;
     private static final long SWAP_MILLIS = 150;
     private static final long SERVICE_MILLIS = 3;
     private static final long FIRST_VERSION = 1;
-    private static final long READY_MILLIS = 15_000;
+    private static final long READY_TIMEOUT_MILLIS = 15_000;
     private static final long READY_POLL_MILLIS = 20;
-    private static final long TIMEOUT_MILLIS = 5_000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 5_000;
     private static final String CONFIG =
             """
             services:
@@ -71,7 +72,7 @@
                 scored_by: queue-app
             """;
 
-    private final AsyncHttpClient mCaller;
+    private final AsyncHttpClient mHttpClient;
     private final StandinPlatform mPlatform;
     private final LoopbackSettings mSettings;
     private final List<StandinEngine> mEngines = new ArrayList<>();
@@ -81,7 +82,7 @@
     private final AtomicInteger mNextEntry = new AtomicInteger();
 
     private DemoFleet() throws IOException {
-        mCaller = AsyncHttpClient.start();
+        mHttpClient = AsyncHttpClient.start();
         mPlatform = StandinPlatform.start(HOST, 0);
         mSettings = new LoopbackSettings(mPlatform.address(), ENTRIES_PER_ENDPOINT);
         mPlatform.publish(MODEL_SERVICE, FIRST_VERSION);
@@ -96,7 +97,7 @@
         }
     }
 
-    /** Starts everything and waits until every entry is ready and sees every endpoint. */
+    /** Starts all components and waits until each entry is ready and can use every endpoint. */
     static DemoFleet start() throws IOException, InterruptedException {
         DemoFleet fleet = new DemoFleet();
         fleet.applyConfig();
@@ -109,7 +110,7 @@
     }
 
     AsyncHttpClient httpClient() {
-        return mCaller;
+        return mHttpClient;
     }
 
     StandinPlatform platform() {
@@ -124,13 +125,13 @@
         return mServices;
     }
 
-    /** Returns the next entry, as the platform's balancer would. */
+    /** Returns the address of the next entry, in round-robin order like a load balancer's. */
     URI nextEntry() {
         int index = Math.floorMod(mNextEntry.getAndIncrement(), mEntries.size());
         return address(mEntries.get(index));
     }
 
-    /** Crashes one engine; its agent stays. */
+    /** Crashes one engine; its agent keeps running. */
     void crashEngine(int index) {
         mEngines.get(index).close();
     }
@@ -142,14 +143,14 @@
         mEngines.forEach(StandinEngine::close);
         mServices.forEach(StandinService::close);
         mPlatform.close();
-        mCaller.close();
+        mHttpClient.close();
     }
 
     private void startEngine(int index) throws IOException {
         EngineSettings settings =
                 new EngineSettings(
                         "engine" + index,
-                        SLOTS,
+                        SLOTS_PER_ENGINE,
                         TOKENS_PER_CHUNK,
                         CHUNK_MILLIS,
                         SWAP_MILLIS,
@@ -199,20 +200,24 @@
 
     private void applyConfig() {
         URI uri = URI.create(nextEntry() + "/admin/config?author=demo&expect=0");
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.json(
-                        "PUT", uri, CONFIG.getBytes(StandardCharsets.UTF_8), TIMEOUT_MILLIS);
-        HttpResponse reply = mCaller.request(call, "demo.config").join().orThrow();
-        if (!reply.isSuccess()) {
-            throw new IllegalStateException("config refused: " + reply.text());
+                        "PUT",
+                        uri,
+                        CONFIG.getBytes(StandardCharsets.UTF_8),
+                        REQUEST_TIMEOUT_MILLIS);
+        HttpResponse response = mHttpClient.request(request, "demo.config").join().orThrow();
+        if (!response.isSuccess()) {
+            throw new IllegalStateException("configuration refused: " + response.text());
         }
     }
 
     private void awaitReady() throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MILLIS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
         while (!mEntries.stream().allMatch(this::isReady)) {
             if (System.nanoTime() > deadline) {
-                throw new IllegalStateException("the fleet is not ready");
+                throw new IllegalStateException(
+                        "an entry is not ready or cannot use every endpoint");
             }
             TimeUnit.MILLISECONDS.sleep(READY_POLL_MILLIS);
         }
@@ -220,11 +225,14 @@
 
     private boolean isReady(EntryNode entry) {
         URI uri = URI.create(address(entry) + "/admin/dump");
-        Result<HttpResponse> reply =
-                mCaller.request(HttpRequest.of("GET", uri, TIMEOUT_MILLIS), "demo.dump").join();
-        String usable = "\"usable\":true,\"free\"";
-        int seen = reply.fold(HttpResponse::text, Object::toString).split(usable, -1).length - 1;
-        return entry.isReady() && seen == ENGINES + SERVICES;
+        Result<HttpResponse> dump =
+                mHttpClient
+                        .request(HttpRequest.of("GET", uri, REQUEST_TIMEOUT_MILLIS), "demo.dump")
+                        .join();
+        String usableMarker = "\"usable\":true,\"free\"";
+        int usableEndpoints =
+                dump.fold(HttpResponse::text, Object::toString).split(usableMarker, -1).length - 1;
+        return entry.isReady() && usableEndpoints == ENGINES + SERVICES;
     }
 
     private static URI address(EntryNode entry) {
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoLoad.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoLoad.java
@@ -14,40 +14,41 @@
 import org.ebonyrun.ports.http.HttpRequest;
 import org.ebonyrun.ports.http.HttpResponse;
 
-/** Offers interactive calls and billing syncs at steady rates. Thread safe. */
+/** Sends interactive calls and billing syncs at constant rates. Thread safe. */
 final class DemoLoad implements AutoCloseable {
     static final long LOOKUP_TARGET_MILLIS = 400;
 
     private static final long LOOKUP_PERIOD_MILLIS = 25;
     private static final long SYNC_PERIOD_MILLIS = 50;
-    private static final long TIMEOUT_MILLIS = 10_000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 10_000;
     private static final int MIN_TOKENS = 8;
     private static final int TOKEN_RANGE = 32;
 
     private final DemoFleet mFleet;
-    private final CallResults mLog;
+    private final CallResults mResults;
     private final Random mRandom;
-    private final AtomicLong mNumbers = new AtomicLong();
-    private final AtomicLong mOpen = new AtomicLong();
+    private final AtomicLong mLastNumber = new AtomicLong();
+    private final AtomicLong mOpenRequests = new AtomicLong();
     private final ScheduledExecutorService mTimer = Executors.newScheduledThreadPool(1);
 
-    DemoLoad(DemoFleet fleet, CallResults log, long seed) {
+    DemoLoad(DemoFleet fleet, CallResults results, long seed) {
         mFleet = fleet;
-        mLog = log;
+        mResults = results;
         mRandom = new Random(seed);
     }
 
     void start() {
-        mTimer.scheduleAtFixedRate(this::lookup, 0, LOOKUP_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
-        mTimer.scheduleAtFixedRate(this::sync, 0, SYNC_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+        mTimer.scheduleAtFixedRate(
+                this::sendLookup, 0, LOOKUP_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+        mTimer.scheduleAtFixedRate(this::sendSync, 0, SYNC_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Offers nothing more and waits for the answers that are due. */
+    /** Stops sending and waits for the outstanding responses. */
     void finish() throws InterruptedException {
         mTimer.shutdown();
-        mTimer.awaitTermination(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
-        while (mOpen.get() > 0 && System.nanoTime() < deadline) {
+        mTimer.awaitTermination(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REQUEST_TIMEOUT_MILLIS);
+        while (mOpenRequests.get() > 0 && System.nanoTime() < deadline) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
@@ -57,84 +58,89 @@
         mTimer.shutdownNow();
     }
 
-    private void lookup() {
-        String prompt = "lookup-" + mNumbers.incrementAndGet();
+    private void sendLookup() {
+        String prompt = "lookup-" + mLastNumber.incrementAndGet();
         int tokens = MIN_TOKENS + mRandom.nextInt(TOKEN_RANGE);
         byte[] body = Json.write(Map.of("prompt", prompt, "max_tokens", tokens));
         URI uri = URI.create(mFleet.nextEntry() + "/v1/calls/slot-lookup");
         long begin = System.nanoTime();
-        mOpen.incrementAndGet();
+        mOpenRequests.incrementAndGet();
         mFleet.httpClient()
-                .request(HttpRequest.json("POST", uri, body, TIMEOUT_MILLIS), "demo.lookup")
+                .request(HttpRequest.json("POST", uri, body, REQUEST_TIMEOUT_MILLIS), "demo.lookup")
                 .thenAccept(
                         result -> {
                             result.fold(
-                                    reply -> onLookup(reply, prompt, tokens, begin), this::onLost);
-                            mOpen.decrementAndGet();
+                                    response -> onLookup(response, prompt, tokens, begin),
+                                    this::onLookupFault);
+                            mOpenRequests.decrementAndGet();
                         });
     }
 
-    private boolean onLookup(HttpResponse reply, String prompt, int tokens, long begin) {
-        if (!reply.isSuccess()) {
-            countFault(reply);
+    private boolean onLookup(HttpResponse response, String prompt, int tokens, long begin) {
+        if (!response.isSuccess()) {
+            countError(response);
             return false;
         }
-        mLog.recordAnswer(System.nanoTime() - begin, LOOKUP_TARGET_MILLIS);
-        JsonNode choice = Json.tree(reply.body()).path("choices").path(0);
+        mResults.recordAnswer(System.nanoTime() - begin, LOOKUP_TARGET_MILLIS);
+        JsonNode choice = Json.tree(response.body()).path("choices").path(0);
         if (!isCompleteAnswer(choice.path("text").asText(), prompt, tokens)) {
-            mLog.mWrongAnswers.add(prompt);
+            mResults.mWrongAnswers.add(prompt);
         }
         return true;
     }
 
-    /** Returns whether a text is the whole answer to a prompt. */
+    /** Returns whether a text is the complete answer of a stand-in engine to a prompt. */
     static boolean isCompleteAnswer(String text, String prompt, int tokens) {
         String[] words = text.split(" ");
-        boolean own = words[0].substring(words[0].indexOf(':') + 1).equals(prompt);
-        return own && words.length == tokens + 1 && words[tokens].equals("t" + (tokens - 1));
+        boolean promptMatches = words[0].substring(words[0].indexOf(':') + 1).equals(prompt);
+        return promptMatches
+                && words.length == tokens + 1
+                && words[tokens].equals("t" + (tokens - 1));
     }
 
-    private void sync() {
-        String key = "sync-" + mNumbers.incrementAndGet();
+    private void sendSync() {
+        String key = "sync-" + mLastNumber.incrementAndGet();
         byte[] body = ("\"" + key + "\"").getBytes(StandardCharsets.UTF_8);
-        HttpRequest call =
+        HttpRequest request =
                 HttpRequest.to(
                         "POST",
                         URI.create(mFleet.nextEntry() + "/v1/calls/billing-sync"),
                         Map.of("Content-Type", "application/json", "Idempotency-Key", key),
                         body,
-                        TIMEOUT_MILLIS);
-        mOpen.incrementAndGet();
+                        REQUEST_TIMEOUT_MILLIS);
+        mOpenRequests.incrementAndGet();
         mFleet.httpClient()
-                .request(call, "demo.sync")
+                .request(request, "demo.sync")
                 .thenAccept(
                         result -> {
                             result.fold(
-                                    reply -> onSync(reply, key),
-                                    fault -> mLog.mSyncUnknown.add(key));
-                            mOpen.decrementAndGet();
+                                    response -> onSync(response, key),
+                                    fault -> mResults.mSyncUnknown.add(key));
+                            mOpenRequests.decrementAndGet();
                         });
     }
 
-    private boolean onSync(HttpResponse reply, String key) {
-        if (reply.isSuccess()) {
-            return mLog.mSyncAnswered.add(key);
+    private boolean onSync(HttpResponse response, String key) {
+        if (response.isSuccess()) {
+            return mResults.mSyncAnswered.add(key);
         }
-        String outcome = Json.tree(reply.body()).path("error").path("outcome").asText();
-        return outcome.equals("not-run") ? mLog.mSyncNotRun.add(key) : mLog.mSyncUnknown.add(key);
+        String outcome = Json.tree(response.body()).path("error").path("outcome").asText();
+        return outcome.equals("not-run")
+                ? mResults.mSyncNotRun.add(key)
+                : mResults.mSyncUnknown.add(key);
     }
 
-    private void countFault(HttpResponse reply) {
-        String outcome = Json.tree(reply.body()).path("error").path("outcome").asText();
+    private void countError(HttpResponse response) {
+        String outcome = Json.tree(response.body()).path("error").path("outcome").asText();
         if (outcome.equals("not-run")) {
-            mLog.mRefused.incrementAndGet();
+            mResults.mRefused.incrementAndGet();
         } else {
-            mLog.mFailed.incrementAndGet();
+            mResults.mFailed.incrementAndGet();
         }
     }
 
-    private boolean onLost(Fault fault) {
-        mLog.mFailed.incrementAndGet();
+    private boolean onLookupFault(Fault fault) {
+        mResults.mFailed.incrementAndGet();
         return false;
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoOptions.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoOptions.java
@@ -1,10 +1,10 @@
 package org.ebonyrun.client.demo;
 
 /**
- * What the user asked of the demonstration.
+ * Options of the demonstration.
  *
- * @param seed seeds everything that is random
- * @param seconds how long load is offered, in seconds
- * @param json whether the report is JSON
+ * @param seed seed of all random choices
+ * @param seconds duration of the load, in seconds
+ * @param json whether to print the report as JSON
  */
 public record DemoOptions(long seed, int seconds, boolean json) {}
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoReport.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoReport.java
@@ -5,15 +5,15 @@
 import java.util.Locale;
 
 /**
- * What the demonstration saw.
+ * Results of the demonstration.
  *
  * @param answered interactive calls that were answered
- * @param late those beyond their target
- * @param refused those refused as not run
- * @param failed those that ended otherwise
- * @param p50Millis median time to the whole answer, in milliseconds
- * @param p99Millis 99th percentile of it, in milliseconds
- * @param syncsSent syncs sent
+ * @param late answered calls that exceeded their target latency
+ * @param refused interactive calls that failed with the outcome "not-run"
+ * @param failed interactive calls with any other failure
+ * @param p50Millis median time to the complete response, in milliseconds
+ * @param p99Millis 99th percentile of that time, in milliseconds
+ * @param syncsSent syncs that were sent
  * @param syncsRan syncs that a service ran
  * @param syncsTwice syncs that ran more than once
  * @param steps completed steps
@@ -21,8 +21,8 @@
  * @param duplicates samples that arrived more than once
  * @param missing slots of completed steps that never arrived
  * @param oldestVersions age of the oldest sample at its arrival, in versions
- * @param idleMillis mean time that the trainer waited for a step, in milliseconds
- * @param broken promises that were broken; empty on success
+ * @param idleMillis mean time for which the trainer waited for a step, in milliseconds
+ * @param broken descriptions of violated guarantees; empty on success
  */
 record DemoReport(
         @JsonProperty("answered") long answered,
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/package-info.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/package-info.java
@@ -1,4 +1,6 @@
-/** The demonstration: the whole path on stand-ins, checked by the stand-ins' own logs. */
+/**
+ * The demonstration: entries and agents on stand-ins, checked against the logs of the stand-ins.
+ */
 @NullMarked
 package org.ebonyrun.client.demo;
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/CallSummary.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/CallSummary.java
@@ -4,54 +4,57 @@
 import java.util.List;
 
 /**
- * What the logs tell of one call. Times are in milliseconds since the epoch.
+ * Times, attempts and failure of one call, reconstructed from log events. Times are in milliseconds
+ * since the epoch.
  *
  * <p>Not thread safe.
  */
 public final class CallSummary {
-    private final String mRequest;
+    private final String mRequestId;
     private final long mSentAt;
-    private final List<String> mAttempts = new ArrayList<>();
-    private long mEndedAt;
+    private final List<String> mAttemptOutcomes = new ArrayList<>();
+    private long mLastEventAt;
     private String mFailure = "";
 
-    CallSummary(String request, long sentAt) {
-        mRequest = request;
+    CallSummary(String requestId, long sentAt) {
+        mRequestId = requestId;
         mSentAt = sentAt;
-        mEndedAt = sentAt;
+        mLastEventAt = sentAt;
     }
 
-    void onAttempt(String end, long at) {
-        mAttempts.add(end);
-        mEndedAt = Math.max(mEndedAt, at);
+    void onAttempt(String outcome, long at) {
+        mAttemptOutcomes.add(outcome);
+        mLastEventAt = Math.max(mLastEventAt, at);
     }
 
-    void onFailure(String why, long at) {
-        mFailure = why;
-        mEndedAt = Math.max(mEndedAt, at);
+    void onFailure(String reason, long at) {
+        mFailure = reason;
+        mLastEventAt = Math.max(mLastEventAt, at);
     }
 
-    /** Returns the request's id. */
+    /** Returns the request ID. */
     public String requestId() {
-        return mRequest;
+        return mRequestId;
     }
 
-    /** Returns when the call was first sent to an endpoint, or was turned away. */
+    /** Returns when the call was first sent to an endpoint, or was refused. */
     public long sentAt() {
         return mSentAt;
     }
 
-    /** Returns how long the call took, in milliseconds, as far as the logs tell. */
+    /**
+     * Returns the time from {@link #sentAt} to the last logged event of the call, in milliseconds.
+     */
     public long durationMillis() {
-        return mEndedAt - mSentAt;
+        return mLastEventAt - mSentAt;
     }
 
-    /** Returns how the attempts ended, in order. */
+    /** Returns the outcome of each attempt, in the order in which the attempts ended. */
     public List<String> attemptOutcomes() {
-        return List.copyOf(mAttempts);
+        return List.copyOf(mAttemptOutcomes);
     }
 
-    /** Returns why the call failed or was turned away; empty if it did not. */
+    /** Returns the reason for which the call failed or was refused; empty if neither. */
     public String failure() {
         return mFailure;
     }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogAnalysis.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogAnalysis.java
@@ -12,57 +12,58 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Steps, calls, weight versions and orders, as the logs of entries tell them.
+ * Steps, calls, weight versions and orders, reconstructed from the log events of entries.
  *
- * <p>Immutable. A line of which the log's bounds dropped the context counts for nothing.
+ * <p>Immutable. Logs are bounded, so earlier lines may be missing: an event that refers to a step
+ * or run whose first event is missing is ignored.
  */
 public final class LogAnalysis {
-    /** The run of a sample: which step and sample an entry's run number means. */
+    /** The step and sample of one run. Run numbers are unique within an entry's process. */
     private record Run(StepSummary step, String sample) {}
 
     private final Map<String, StepSummary> mSteps = new LinkedHashMap<>();
     private final Map<String, CallSummary> mCalls = new LinkedHashMap<>();
     private final Map<String, Run> mRuns = new HashMap<>();
-    private final Map<String, Long> mNamed = new HashMap<>();
-    private final List<Long> mOrders = new ArrayList<>();
-    private final long mBegin;
+    private final Map<String, Long> mVersionNamedAt = new HashMap<>();
+    private final List<Long> mOrderTimes = new ArrayList<>();
+    private final long mBeginMillis;
 
     private LogAnalysis(List<LogEvent> events) {
-        mBegin = events.isEmpty() ? 0 : events.get(0).atMillis();
-        events.forEach(this::take);
+        mBeginMillis = events.isEmpty() ? 0 : events.get(0).atMillis();
+        events.forEach(this::process);
     }
 
-    /** Reads events in any order. */
+    /** Analyzes events, which may be in any order. */
     public static LogAnalysis of(Collection<LogEvent> events) {
         List<LogEvent> sorted = new ArrayList<>(events);
         sorted.sort(Comparator.comparingLong(LogEvent::atMillis));
         return new LogAnalysis(sorted);
     }
 
-    private void take(LogEvent event) {
+    private void process(LogEvent event) {
         switch (event.name()) {
-            case "step.owned" -> own(event);
+            case "step.owned" -> addStep(event);
             case "step.taken" -> withStep(event, StepSummary::onOwnerChange);
             case "step.end", "step.ended" ->
                     withStep(event, step -> step.onEnded(event.atMillis()));
-            case "sample.sent" -> send(event);
+            case "sample.sent" -> startRun(event);
             case "sample.run", "sample.stopped" -> endRun(event);
             case "version.named" ->
-                    mNamed.putIfAbsent(
-                            version(event.getText("model"), event.getInt("version")),
+                    mVersionNamedAt.putIfAbsent(
+                            versionKey(event.getText("model"), event.getInt("version")),
                             event.atMillis());
-            case "order" -> mOrders.add(event.atMillis());
+            case "order" -> mOrderTimes.add(event.atMillis());
             case "call.sent" -> call(event);
             case "call.attempt" -> call(event).onAttempt(event.getText("end"), event.atMillis());
             case "call.failed", "call.refused" ->
                     call(event).onFailure(event.getText("why"), event.atMillis());
             default -> {
-                // Tells nothing of a step or call.
+                // Other events are irrelevant here.
             }
         }
     }
 
-    private void own(LogEvent event) {
+    private void addStep(LogEvent event) {
         mSteps.putIfAbsent(
                 event.getText("step"),
                 new StepSummary(
@@ -73,40 +74,44 @@
                         event.atMillis()));
     }
 
-    private void withStep(LogEvent event, Consumer<StepSummary> use) {
+    private void withStep(LogEvent event, Consumer<StepSummary> action) {
         StepSummary step = mSteps.get(event.getText("step"));
         if (step != null) {
-            use.accept(step);
+            action.accept(step);
         }
     }
 
-    private void send(LogEvent event) {
+    private void startRun(LogEvent event) {
         withStep(
                 event,
                 step -> {
                     step.onSampleSent(event.getText("request"));
-                    mRuns.put(run(event), new Run(step, event.getText("request")));
+                    mRuns.put(runKey(event), new Run(step, event.getText("request")));
                 });
     }
 
     private void endRun(LogEvent event) {
-        // A run that was stopped may still tell its end.
-        Run run = mRuns.remove(run(event));
+        // A stopped run may log its end too; only the first of both events counts.
+        Run run = mRuns.remove(runKey(event));
         if (run == null) {
             return;
         }
-        String end = event.getText("end");
-        if (end.equals("COMPLETE")) {
+        String outcome = event.getText("end");
+        if (outcome.equals("COMPLETE")) {
             run.step().onSampleComplete(run.sample(), event.atMillis());
         } else {
-            run.step().onFailedRun(end.isEmpty() ? reason(event.getText("why")) : end);
+            run.step()
+                    .onFailedRun(
+                            outcome.isEmpty() ? withoutFigures(event.getText("why")) : outcome);
         }
     }
 
-    /** Returns a reason without the figures in it, so that equal reasons count together. */
-    private static String reason(String why) {
-        int colon = why.indexOf(':');
-        String text = colon < 0 ? why : why.substring(0, colon);
+    /**
+     * Removes the figures from a reason, so that runs with the same reason are counted together.
+     */
+    private static String withoutFigures(String reason) {
+        int colon = reason.indexOf(':');
+        String text = colon < 0 ? reason : reason.substring(0, colon);
         return text.replaceAll(" for [0-9]+ ms", "");
     }
 
@@ -115,47 +120,47 @@
                 event.getText("request"), request -> new CallSummary(request, event.atMillis()));
     }
 
-    private static String run(LogEvent event) {
+    private static String runKey(LogEvent event) {
         return event.process() + "/" + event.getText("run");
     }
 
-    private static String version(String model, int number) {
+    private static String versionKey(String model, int number) {
         return model + "/" + number;
     }
 
-    /** Returns when the first line was written, in milliseconds since the epoch. */
+    /** Returns the time of the first event, in milliseconds since the epoch. */
     public long beginMillis() {
-        return mBegin;
+        return mBeginMillis;
     }
 
-    /** Returns the steps by trainer and number. */
+    /** Returns the steps, ordered by model and number. */
     public List<StepSummary> steps() {
         List<StepSummary> steps = new ArrayList<>(mSteps.values());
         steps.sort(Comparator.comparing(StepSummary::model).thenComparingInt(StepSummary::number));
         return steps;
     }
 
-    /** Returns when a version was named; empty if no line tells. */
+    /** Returns when the first entry logged that a version was named; empty if none did. */
     public OptionalLong versionNamedAt(String model, int version) {
-        @Nullable Long at = mNamed.get(version(model, version));
+        @Nullable Long at = mVersionNamedAt.get(versionKey(model, version));
         return at == null ? OptionalLong.empty() : OptionalLong.of(at);
     }
 
-    /** Returns the calls that took longer than a time, in milliseconds, or failed. */
+    /** Returns the calls that took longer than {@code lateMillis}, failed or were refused. */
     public List<CallSummary> lateOrFailedCalls(long lateMillis) {
         return mCalls.values().stream()
                 .filter(call -> call.durationMillis() > lateMillis || !call.failure().isEmpty())
                 .toList();
     }
 
-    /** Returns the longest time in which no order was given, as its begin and end. */
+    /** Returns the begin and end of the longest time between two successive orders. */
     public List<Long> longestOrderGap() {
-        long begin = mBegin;
-        long end = mBegin;
-        for (int i = 1; i < mOrders.size(); i++) {
-            if (mOrders.get(i) - mOrders.get(i - 1) > end - begin) {
-                begin = mOrders.get(i - 1);
-                end = mOrders.get(i);
+        long begin = mBeginMillis;
+        long end = mBeginMillis;
+        for (int i = 1; i < mOrderTimes.size(); i++) {
+            if (mOrderTimes.get(i) - mOrderTimes.get(i - 1) > end - begin) {
+                begin = mOrderTimes.get(i - 1);
+                end = mOrderTimes.get(i);
             }
         }
         return List.of(begin, end);
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogEvent.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogEvent.java
@@ -6,31 +6,32 @@
 import org.ebonyrun.base.json.JsonTrees;
 
 /**
- * One line of an entry's log.
+ * One event of an entry's log: a line with a JSON object.
  *
- * @param atMillis when it was written, in milliseconds since the epoch by the process's clock
- * @param process the word before the line's JSON, by which collected logs name their process; empty
- *     if there is none
- * @param fields the line's fields
+ * @param atMillis time at which the line was written, in milliseconds since the epoch by the clock
+ *     of the writing process
+ * @param process name of the writing process: the last word before the JSON object, where log
+ *     collectors put it; empty if there is none
+ * @param fields the JSON object
  */
 public record LogEvent(long atMillis, String process, JsonNode fields) {
-    /** Reads a line; empty if it holds no event. */
+    /** Parses a line; returns empty if the line contains no event. */
     public static Optional<LogEvent> parse(String line) {
-        int begin = line.indexOf('{');
-        if (begin < 0) {
+        int jsonStart = line.indexOf('{');
+        if (jsonStart < 0) {
             return Optional.empty();
         }
-        String before = line.substring(0, begin).strip();
-        String process = before.substring(before.lastIndexOf(' ') + 1);
+        String prefix = line.substring(0, jsonStart).strip();
+        String process = prefix.substring(prefix.lastIndexOf(' ') + 1);
         try {
             JsonNode fields =
-                    JsonTrees.read(line.substring(begin).getBytes(StandardCharsets.UTF_8));
-            boolean event = fields.path("at").isNumber() && fields.path("event").isTextual();
-            return event
+                    JsonTrees.read(line.substring(jsonStart).getBytes(StandardCharsets.UTF_8));
+            boolean isEvent = fields.path("at").isNumber() && fields.path("event").isTextual();
+            return isEvent
                     ? Optional.of(new LogEvent(fields.path("at").asLong(), process, fields))
                     : Optional.empty();
         } catch (IllegalArgumentException ignored) {
-            // Collected logs hold lines of other programs too.
+            // Collected logs also contain lines of other programs.
             return Optional.empty();
         }
     }
@@ -40,12 +41,12 @@
         return getText("event");
     }
 
-    /** Returns a field as text; empty if it is missing. */
+    /** Returns the value of a field as text; empty if the field is missing. */
     public String getText(String field) {
         return fields.path(field).asText();
     }
 
-    /** Returns a field as a whole number; zero if it is missing. */
+    /** Returns the value of a field as an integer; zero if the field is missing. */
     public int getInt(String field) {
         return fields.path(field).asInt();
     }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/StepSummary.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/StepSummary.java
@@ -10,7 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * What the logs tell of one step. Times are in milliseconds since the epoch.
+ * Times, samples and owners of one step, reconstructed from log events. Times are in milliseconds
+ * since the epoch.
  *
  * <p>Not thread safe.
  */
@@ -18,36 +19,36 @@
     private final String mId;
     private final String mModel;
     private final int mNumber;
-    private final int mSamples;
-    private final long mAskedAt;
-    private final Set<String> mSent = new HashSet<>();
-    private final Map<String, Long> mFinished = new TreeMap<>();
+    private final int mSampleCount;
+    private final long mAcceptedAt;
+    private final Set<String> mSentSamples = new HashSet<>();
+    private final Map<String, Long> mCompletionTimes = new TreeMap<>();
     private final Map<String, Integer> mFailedRuns = new TreeMap<>();
     private OptionalLong mEndedAt = OptionalLong.empty();
-    private int mOwners = 1;
+    private int mOwnerCount = 1;
 
-    StepSummary(String id, String model, int number, int samples, long askedAt) {
+    StepSummary(String id, String model, int number, int sampleCount, long acceptedAt) {
         mId = id;
         mModel = model;
         mNumber = number;
-        mSamples = samples;
-        mAskedAt = askedAt;
+        mSampleCount = sampleCount;
+        mAcceptedAt = acceptedAt;
     }
 
     void onOwnerChange() {
-        mOwners++;
+        mOwnerCount++;
     }
 
     void onSampleSent(String sample) {
-        mSent.add(sample);
+        mSentSamples.add(sample);
     }
 
     void onSampleComplete(String sample, long at) {
-        mFinished.putIfAbsent(sample, at);
+        mCompletionTimes.putIfAbsent(sample, at);
     }
 
-    void onFailedRun(String why) {
-        mFailedRuns.merge(why, 1, Integer::sum);
+    void onFailedRun(String reason) {
+        mFailedRuns.merge(reason, 1, Integer::sum);
     }
 
     void onEnded(long at) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Returns the step's id. */
+    /** Returns the step ID. */
     public String id() {
         return mId;
     }
@@ -66,48 +67,54 @@
         return mModel;
     }
 
-    /** Returns the step's number, from zero. */
+    /** Returns the step's number, counted from zero. */
     public int number() {
         return mNumber;
     }
 
-    /** Returns how many samples the step has. */
+    /** Returns the number of samples of the step. */
     public int sampleCount() {
-        return mSamples;
+        return mSampleCount;
     }
 
     /** Returns when an entry accepted the step. */
     public long acceptedAt() {
-        return mAskedAt;
+        return mAcceptedAt;
     }
 
-    /** Returns how many processes owned the step in turn. */
+    /** Returns the number of processes that owned the step, one after the other. */
     public int ownerCount() {
-        return mOwners;
+        return mOwnerCount;
     }
 
-    /** Returns how many samples no endpoint was sent. */
+    /** Returns the number of samples that were never sent to an endpoint. */
     public int unsentSamples() {
-        return mSamples - mSent.size();
+        return mSampleCount - mSentSamples.size();
     }
 
-    /** Returns when a share of the samples that became whole were so; empty if none did. */
+    /**
+     * Returns when the given share of the completed samples was complete; empty if no sample was
+     * completed.
+     */
     public OptionalLong completedAt(double share) {
-        if (mFinished.isEmpty()) {
+        if (mCompletionTimes.isEmpty()) {
             return OptionalLong.empty();
         }
-        List<Long> times = new ArrayList<>(mFinished.values());
+        List<Long> times = new ArrayList<>(mCompletionTimes.values());
         Collections.sort(times);
         int index = (int) Math.ceil(share * times.size()) - 1;
         return OptionalLong.of(times.get(Math.max(0, index)));
     }
 
-    /** Returns when the step's trainer ended it, as its owner or another entry heard first. */
+    /**
+     * Returns when the step's trainer ended it: the earliest log event of its owner or of the entry
+     * that received the request; empty if there is none.
+     */
     public OptionalLong endedAt() {
         return mEndedAt;
     }
 
-    /** Returns how many runs ended without a whole text, by reason. */
+    /** Returns the number of runs that ended without a complete text, by reason. */
     public Map<String, Integer> failedRuns() {
         return Collections.unmodifiableMap(mFailedRuns);
     }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/package-info.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/package-info.java
@@ -1,4 +1,4 @@
-/** Reads the log lines of entries and tells what trainers and callers waited for. */
+/** Analyzes entry logs to show how long trainers and callers waited, and for what. */
 @NullMarked
 package org.ebonyrun.client.explain;
 
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/package-info.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/package-info.java
@@ -1,4 +1,4 @@
-/** The client: its binary and commands. */
+/** The command-line client {@code ebonyrun}: its main class and its commands. */
 @NullMarked
 package org.ebonyrun.client;
 
--- a/ebonyrun-client/src/test/java/org/ebonyrun/client/explain/LogAnalysisTest.java
+++ b/ebonyrun-client/src/test/java/org/ebonyrun/client/explain/LogAnalysisTest.java
@@ -39,30 +39,30 @@
         "{'at':1800,'event':'order'}",
     };
 
-    private final LogAnalysis mStory =
+    private final LogAnalysis mAnalysis =
             LogAnalysis.of(
                     Stream.of(LINES)
                             .map(line -> LogEvent.parse(line.replace('\'', '"')).orElseThrow())
                             .toList());
 
     @Test
-    void aStepIsToldFromItsFirstSampleToItsEnd() {
-        StepSummary step = mStory.steps().get(0);
+    void reconstructsAStepFromItsFirstSampleToItsEnd() {
+        StepSummary step = mAnalysis.steps().get(0);
 
-        assertThat(mStory.steps(), hasSize(1));
+        assertThat(mAnalysis.steps(), hasSize(1));
         assertThat(step.acceptedAt(), is(1_000L));
         assertThat(step.unsentSamples(), is(1));
         assertThat(step.completedAt(0.5), is(OptionalLong.of(1_200)));
         assertThat(step.completedAt(1), is(OptionalLong.of(1_300)));
         assertThat(step.endedAt(), is(OptionalLong.of(1_400)));
         assertThat(step.failedRuns(), is(Map.of("endpoint is slow", 1)));
-        assertThat(mStory.versionNamedAt("m", 2), is(OptionalLong.of(900)));
-        assertThat(mStory.versionNamedAt("m", 3), is(OptionalLong.empty()));
+        assertThat(mAnalysis.versionNamedAt("m", 2), is(OptionalLong.of(900)));
+        assertThat(mAnalysis.versionNamedAt("m", 3), is(OptionalLong.empty()));
     }
 
     @Test
-    void callsThatAreLateOrFailedAreToldWithTheirAttempts() {
-        List<CallSummary> calls = mStory.lateOrFailedCalls(500);
+    void findsLateAndFailedCallsWithTheirAttempts() {
+        List<CallSummary> calls = mAnalysis.lateOrFailedCalls(500);
 
         assertThat(calls.stream().map(CallSummary::requestId).toList(), contains("c", "e"));
         assertThat(calls.get(0).durationMillis(), is(890L));
@@ -71,14 +71,14 @@
     }
 
     @Test
-    void theLongestTimeWithoutAnOrderIsTold() {
-        assertThat(mStory.longestOrderGap(), contains(1_000L, 1_700L));
+    void findsTheLongestTimeBetweenOrders() {
+        assertThat(mAnalysis.longestOrderGap(), contains(1_000L, 1_700L));
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {"", "no json", "vm {\"at\":1}", "vm {\"at\":1,\"event\":", "Caused by: {"})
-    void linesOfOtherProgramsAreNoEvents(String line) {
+    void ignoresLinesOfOtherPrograms(String line) {
         assertThat(LogEvent.parse(line), is(Optional.empty()));
     }
 }
--- a/spec/fenced_orders.pml
+++ b/spec/fenced_orders.pml
@@ -1,16 +1,17 @@
 /*
- * Orders under a lease: no engine obeys an order older than one that it has obeyed.
+ * Orders under a lease: no engine executes an order with a lower fence than an order that it has
+ * executed before.
  *
- * Stands for: org.ebonyrun.core.lease.Lease and WeightPlanner (Planner), LeaseClient (acquire and
- * the recorded fence), org.ebonyrun.core.weights.SwapMachine (Agent), and an engine that does not
- * compare fences itself.
+ * Models org.ebonyrun.core.lease.Lease and org.ebonyrun.core.weights.WeightPlanner (Planner),
+ * org.ebonyrun.daemon.store.LeaseClient (acquisition and the recorded fence),
+ * org.ebonyrun.core.weights.SwapMachine (Agent), and an engine that does not compare fences itself.
  *
- * A lease may lapse at any moment, its key with it, also while its holder is paused; the holder
- * still believes that it is in charge. An order may be on its way for any time. The agent may
- * restart and forget its floor.
+ * A lease may expire at any time, and its key with it, even while its holder is paused; the holder
+ * then continues as if it still held the lease. An order may be delayed arbitrarily. The agent may
+ * restart and lose its fence floor.
  *
- * Mutants: -DFENCE_NOT_COMPARED  SwapMachine.onOrder passes every order;
- *          -DFLOOR_FROM_LEASE    the floor is learned from the lease's key, which may have lapsed.
+ * Mutants: -DFENCE_NOT_COMPARED  SwapMachine.onOrder passes on every order;
+ *          -DFLOOR_FROM_LEASE    the floor is read from the lease's key, which may have expired.
  */
 #define PLANNERS 2
 #define MAX_LEASES 3
@@ -29,10 +30,10 @@
 
 chan orders = [4] of { byte };
 
-byte obeyed = 0;              /* highest fence that the engine obeyed */
+byte obeyed = 0;              /* highest fence of the orders that the engine executed */
 byte restarts = 0;
 
-/* Lease.ask, LeaseClient.acquire, WeightPlanner.order. */
+/* Lease.acquireIfDue, LeaseClient.acquire, and the orders of WeightPlanner.onTick. */
 proctype Planner(byte me) {
     byte fence;
     byte sent;
@@ -43,7 +44,7 @@
            leaseFence = revision;
            fence = revision
        }
-       /* LeaseClient records the fence before the holder acts. */
+       /* LeaseClient records the fence before the holder sends any order. */
        atomic {
            if
            :: recordedFence < fence -> recordedFence = fence
@@ -60,7 +61,7 @@
     done[me] = true
 }
 
-/* A lease lapses whether or not its holder knows. */
+/* A lease expires, whether or not its holder notices. */
 proctype Store() {
     do
     :: leaseFence != 0 -> leaseFence = 0
@@ -68,7 +69,7 @@
     od
 }
 
-/* SwapMachine.onFloor and onOrder; the engine obeys whatever passes. */
+/* SwapMachine.onFenceFloor and onOrder; the engine executes every order that passes. */
 proctype Agent() {
     byte floor = 0;
     bool known = false;
@@ -97,7 +98,7 @@
     od
 }
 
-/* Two orders may overtake each other: they come over different links. */
+/* Two orders may be reordered, because they arrive over different links. */
 proctype Network() {
     byte a, b;
     do
--- a/spec/step_delivery.pml
+++ b/spec/step_delivery.pml
@@ -1,15 +1,16 @@
 /*
  * Delivery of one step: every slot reaches the trainer exactly once.
  *
- * Stands for: org.ebonyrun.core.rollout.Step and TrainerSteps (Owner), Cursor (cursor),
+ * Models org.ebonyrun.core.rollout.Step, PullHandler and TrainerSteps (Owner), Cursor (cursor),
  * org.ebonyrun.core.attempt.AttemptMachine and SampleStore (Agent), and a trainer that repeats a
- * pull with the same cursor when its answer does not come (Trainer).
+ * pull with the same cursor if it receives no response (Trainer).
  *
- * Two owners act at once: one may have been paused past its lease and wakes up with a pull that it
- * still has to answer. Answers may be lost or late. One agent may be lost with what it holds.
+ * Two owners are active at the same time: one may have been paused until its lease expired, and
+ * then resumes with a pull to which it has not responded yet. Responses may be lost or delayed. One
+ * agent may be lost together with the samples that it holds.
  *
- * Mutants: -DCURSOR_IGNORED  an owner hands out whatever is held (Step.acknowledge does nothing);
- *          -DLATE_ANSWERS    the trainer takes answers of pulls that it has given up.
+ * Mutants: -DCURSOR_IGNORED  an owner ignores the cursor and returns all held samples;
+ *          -DLATE_ANSWERS    the trainer accepts responses to pulls that it has abandoned.
  */
 #define SLOTS 2
 #define OWNERS 2
@@ -27,15 +28,15 @@
 #define IS_AWAITED(answered, token) (answered == token)
 #endif
 
-bool held[SLOTS];             /* whether SampleStore of some agent has the slot */
-byte got[SLOTS];              /* how often the trainer received each slot */
+bool held[SLOTS];             /* whether the SampleStore of an agent holds the slot */
+byte got[SLOTS];              /* number of times the trainer received each slot */
 bool complete = false;
 byte losses = 0;
 
 chan pulls[OWNERS] = [MAX_PULLS] of { byte, byte };   /* token, cursor */
 chan answers = [MAX_PULLS] of { byte, byte };         /* token, slots */
 
-/* AttemptMachine.onEnd and finishSample, and the loss of an agent with what it holds. */
+/* AttemptMachine.onEnd for a sample, and the loss of an agent with the samples it holds. */
 active proctype Agent() {
     do
     :: atomic { !complete && !held[0] -> held[0] = true }
@@ -45,7 +46,7 @@
     od
 }
 
-/* Step.onPull, selectReady and answer; pausing is the freedom to answer late. */
+/* Step.onPull and PullHandler. A pause is modelled as a response at any later time. */
 proctype Owner(byte me) {
     byte token, cursor, slots, s;
     do
@@ -65,7 +66,7 @@
         }
         if
         :: answers ! token, slots
-        :: skip                       /* the answer is lost */
+        :: skip                       /* the response is lost */
         fi
     :: complete && empty(pulls[me]) -> break
     od
@@ -101,9 +102,9 @@
                     cursor = cursor | slots
                 }
                 break
-            :: else -> skip           /* a late answer is dropped */
+            :: else -> skip           /* a late response is dropped */
             fi
-        :: true -> break              /* the trainer gives this pull up */
+        :: true -> break              /* the trainer abandons this pull */
         od
     :: else -> break
     od;
