--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/EngineRun.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/EngineRun.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What an engine's own log says of one run.
+ * One run in the log of an engine.
  *
- * @param runId the text that the run put at the start of its answer
- * @param requestId the attempt that the agent named
+ * @param runId the ID of the run, which its response starts with
+ * @param requestId the attempt ID that the agent sent with the request
  * @param prompt the prompt
- * @param versions the weight versions that produced tokens
- * @param tokens the number of tokens produced
- * @param finished whether the end mark was sent
+ * @param versions the weight versions that generated tokens, in ascending order
+ * @param tokens the number of tokens sent
+ * @param finished whether the end marker was sent
  */
 public record EngineRun(
         String runId,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/EngineSettings.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/EngineSettings.java
@@ -1,14 +1,14 @@
 package org.ebonyrun.standin.engine;
 
 /**
- * How an engine behaves.
+ * The options of an engine.
  *
- * @param name the name that begins its run ids
- * @param slots how many completions run at once
- * @param tokensPerChunk tokens in each event of a stream
- * @param chunkMillis time between events, in milliseconds
- * @param swapMillis how long loading a version takes, in milliseconds
- * @param checksFence whether orders with an old fence are refused
+ * @param name the name, which its run IDs start with
+ * @param slots the number of concurrent completions that the engine reports as its limit
+ * @param tokensPerChunk tokens per event of a stream
+ * @param chunkMillis time between the events of a stream, in milliseconds
+ * @param swapMillis time to load a version, in milliseconds
+ * @param checksFence whether orders with an old fence are rejected
  */
 public record EngineSettings(
         String name,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinEngine.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinEngine.java
@@ -32,10 +32,10 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * A model engine that streams made-up tokens and keeps a log of what it ran.
+ * A model engine that streams generated words as tokens. Keeps a log of its runs.
  *
- * <p>The text of an answer is its run id, a colon, the prompt, and a numbered word for each token,
- * so that a reader can tell whose answer it is and whether it is whole.
+ * <p>The text of a response consists of the run ID, a colon, the prompt, and a numbered word for
+ * each token. Tests can thus tell which request a text belongs to, and whether it is complete.
  *
  * <p>Thread safe.
  */
@@ -48,23 +48,23 @@
     private static final int DEFAULT_TOKENS = 16;
 
     private final EngineSettings mSettings;
-    private final AsyncHttpClient mCaller;
+    private final AsyncHttpClient mHttpClient;
     private final ScheduledExecutorService mTimer;
     private final HttpServer mServer;
     private final AtomicLong mRunIds = new AtomicLong();
-    private final AtomicInteger mRunning = new AtomicInteger();
+    private final AtomicInteger mRunningCount = new AtomicInteger();
     private final AtomicInteger mLoadsToFail = new AtomicInteger();
-    private final ConcurrentLinkedQueue<EngineRun> mLog = new ConcurrentLinkedQueue<>();
-    private final Set<Run> mOpen = ConcurrentHashMap.newKeySet();
+    private final ConcurrentLinkedQueue<EngineRun> mEndedRuns = new ConcurrentLinkedQueue<>();
+    private final Set<Run> mOpenRuns = ConcurrentHashMap.newKeySet();
     private volatile long mVersion;
     private volatile long mHighestFence;
-    private volatile long mFencedOrders;
+    private volatile long mAcceptedStaleOrders;
 
     private StandinEngine(EngineSettings settings, String host, int port, long version)
             throws IOException {
         mSettings = settings;
         mVersion = version;
-        mCaller = AsyncHttpClient.start();
+        mHttpClient = AsyncHttpClient.start();
         mTimer =
                 Executors.newScheduledThreadPool(
                         1,
@@ -85,53 +85,53 @@
 
     /** Handles one request. */
     @FunctionalInterface
-    private interface Action {
+    private interface RequestHandler {
         void run(Request request, Responder out) throws IOException;
     }
 
-    /** Starts an engine that has the given version loaded. */
+    /** Starts an engine with the given weight version loaded. */
     public static StandinEngine start(EngineSettings settings, String host, int port, long version)
             throws IOException {
         return new StandinEngine(settings, host, port, version);
     }
 
-    /** Returns the engine's address. */
+    /** Returns the base address of the engine. */
     public URI address() {
         return URI.create("http://127.0.0.1:" + HttpServers.port(mServer));
     }
 
-    /** Returns what the engine ran, finished or not. */
+    /** Returns all runs of the engine, finished or not. */
     public List<EngineRun> log() {
-        List<EngineRun> runs = new ArrayList<>(mLog);
-        mOpen.forEach(run -> runs.add(run.record(false)));
+        List<EngineRun> runs = new ArrayList<>(mEndedRuns);
+        mOpenRuns.forEach(run -> runs.add(run.record(false)));
         return runs;
     }
 
-    /** Returns the loaded version. */
+    /** Returns the loaded weight version. */
     public long version() {
         return mVersion;
     }
 
-    /** Returns how many orders were obeyed although a higher fence had been seen before. */
+    /** Returns the number of orders accepted although a higher fence had been seen before. */
     public long acceptedStaleOrders() {
-        return mFencedOrders;
+        return mAcceptedStaleOrders;
     }
 
-    /** Makes the next loads fail partway. */
+    /** Makes the next loads fail after the weights have been fetched. */
     public void failLoads(int count) {
         mLoadsToFail.set(count);
     }
 
-    /** Stops the engine as a crash would: streams break off. */
+    /** Stops the engine as a crash does: aborts all running streams. */
     @Override
     public void close() {
         mTimer.shutdownNow();
-        mOpen.forEach(Run::breakOff);
+        mOpenRuns.forEach(Run::abort);
         mServer.shutdownNow();
-        mCaller.close();
+        mHttpClient.close();
     }
 
-    /** Suspends a response that repeats the id of its request. */
+    /** Suspends a response, and copies the request ID into its header. */
     static Responder suspend(Request request, Response response) {
         Responder out = Responder.suspend(response);
         String requestId = request.getHeader(REQUEST_ID);
@@ -141,7 +141,7 @@
         return out;
     }
 
-    private HttpHandler handler(Action action) {
+    private HttpHandler handler(RequestHandler action) {
         return new HttpHandler() {
             @Override
             public void service(Request request, Response response) throws IOException {
@@ -154,15 +154,15 @@
         ObjectNode state = JSON.createObjectNode();
         state.put("version", mVersion);
         state.put("slots", mSettings.slots());
-        state.put("running", mRunning.get());
+        state.put("running", mRunningCount.get());
         state.put("checks_fence", mSettings.checksFence());
         out.sendWhole(200, "application/json", JSON.writeValueAsBytes(state));
     }
 
     private void onWeights(Request request, Responder out) {
         String version = request.getRequestURI().substring("/weights/".length());
-        boolean has = Long.parseLong(version) == mVersion;
-        out.sendWhole(has ? 200 : 404, "application/octet-stream", new byte[0]);
+        boolean isLoaded = Long.parseLong(version) == mVersion;
+        out.sendWhole(isLoaded ? 200 : 404, "application/octet-stream", new byte[0]);
     }
 
     private void onCompletion(Request request, Responder out) {
@@ -170,10 +170,10 @@
         BodyReader.read(
                 request,
                 MAX_BODY_BYTES,
-                result -> result.map(body -> begin(String.valueOf(requestId), body, out)));
+                result -> result.map(body -> startRun(String.valueOf(requestId), body, out)));
     }
 
-    private boolean begin(String requestId, byte[] body, Responder out) {
+    private boolean startRun(String requestId, byte[] body, Responder out) {
         JsonNode tree;
         try {
             tree = JSON.readTree(body);
@@ -184,10 +184,10 @@
         String prompt = tree.path("prompt").asText();
         int tokens = tree.path("max_tokens").asInt(DEFAULT_TOKENS);
         Run run = new Run(requestId, prompt, tokens, out);
-        mOpen.add(run);
-        mRunning.incrementAndGet();
+        mOpenRuns.add(run);
+        mRunningCount.incrementAndGet();
         out.begin(200, "text/event-stream");
-        run.next();
+        run.sendNext();
         return true;
     }
 
@@ -217,12 +217,13 @@
                 out.sendWhole(409, "text/plain", "old fence".getBytes(StandardCharsets.UTF_8));
                 return;
             }
-            mFencedOrders++;
+            mAcceptedStaleOrders++;
         }
         mHighestFence = Math.max(mHighestFence, fence);
         long version = order.path("version").asLong();
         URI source = URI.create(order.path("source").asText());
-        mCaller.request(HttpRequest.of("GET", source, FETCH_TIMEOUT_MILLIS), "weights.fetch")
+        mHttpClient
+                .request(HttpRequest.of("GET", source, FETCH_TIMEOUT_MILLIS), "weights.fetch")
                 .thenAccept(result -> onFetched(version, result, out));
     }
 
@@ -242,65 +243,68 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** One completion. Its state is guarded by its monitor. */
+    /** One completion. Its monitor guards its state. */
     private final class Run {
         private final String mRunId = mSettings.name() + "-" + mRunIds.incrementAndGet();
         private final String mRequestId;
         private final String mPrompt;
-        private final int mWanted;
+        private final int mMaxTokens;
         private final Responder mOut;
         private final TreeSet<Long> mVersions = new TreeSet<>();
-        private int mSent;
+        private int mSentTokens;
 
-        Run(String requestId, String prompt, int wanted, Responder out) {
+        Run(String requestId, String prompt, int maxTokens, Responder out) {
             mRequestId = requestId;
             mPrompt = prompt;
-            mWanted = wanted;
+            mMaxTokens = maxTokens;
             mOut = out;
         }
 
-        /** Sends the next event; the stream ends when all tokens are sent or nobody reads. */
-        synchronized void next() {
+        /**
+         * Sends the next event. Ends the run when all tokens are sent or the client has
+         * disconnected.
+         */
+        synchronized void sendNext() {
             long version = mVersion;
-            int count = Math.min(mSettings.tokensPerChunk(), mWanted - mSent);
+            int count = Math.min(mSettings.tokensPerChunk(), mMaxTokens - mSentTokens);
             StringBuilder text = new StringBuilder();
-            if (mSent == 0) {
+            if (mSentTokens == 0) {
                 text.append(mRunId).append(':').append(mPrompt);
             }
             for (int i = 0; i < count; i++) {
-                text.append(" t").append(mSent + i);
+                text.append(" t").append(mSentTokens + i);
             }
-            mSent += count;
+            mSentTokens += count;
             mVersions.add(version);
-            if (!mOut.sendPart(event(text.toString(), count, version))) {
-                end(false);
-            } else if (mSent >= mWanted) {
+            if (!mOut.sendPart(encodeEvent(text.toString(), count, version))) {
+                finish(false);
+            } else if (mSentTokens >= mMaxTokens) {
                 mOut.sendPart("data: [DONE]\n\n");
                 mOut.end();
-                end(true);
+                finish(true);
             } else if (!mTimer.isShutdown()) {
-                mTimer.schedule(this::next, mSettings.chunkMillis(), TimeUnit.MILLISECONDS);
+                mTimer.schedule(this::sendNext, mSettings.chunkMillis(), TimeUnit.MILLISECONDS);
             }
         }
 
-        void breakOff() {
+        void abort() {
             mOut.abort();
-            end(false);
+            finish(false);
         }
 
         synchronized EngineRun record(boolean finished) {
             return new EngineRun(
-                    mRunId, mRequestId, mPrompt, List.copyOf(mVersions), mSent, finished);
+                    mRunId, mRequestId, mPrompt, List.copyOf(mVersions), mSentTokens, finished);
         }
 
-        private void end(boolean finished) {
-            if (mOpen.remove(this)) {
-                mRunning.decrementAndGet();
-                mLog.add(record(finished));
+        private void finish(boolean finished) {
+            if (mOpenRuns.remove(this)) {
+                mRunningCount.decrementAndGet();
+                mEndedRuns.add(record(finished));
             }
         }
 
-        private String event(String text, int tokens, long version) {
+        private String encodeEvent(String text, int tokens, long version) {
             ObjectNode event = JSON.createObjectNode();
             event.put("object", "text_completion");
             event.putArray("choices").addObject().put("index", 0).put("text", text);
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinService.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinService.java
@@ -19,7 +19,8 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * A plain service that echoes bodies, scores samples, and keeps a log of what it ran.
+ * A plain service that echoes request bodies and scores samples. Keeps a log of the requests it
+ * ran.
  *
  * <p>Thread safe.
  */
@@ -48,18 +49,18 @@
                         new HttpServerSettings(name, host, port, WORKERS), Map.of("/*", handler()));
     }
 
-    /** Starts a service that takes {@code serviceMillis} milliseconds for each request. */
+    /** Starts a service that responds to each request after {@code serviceMillis} milliseconds. */
     public static StandinService start(String name, String host, int port, long serviceMillis)
             throws IOException {
         return new StandinService(name, host, port, serviceMillis);
     }
 
-    /** Returns the service's address. */
+    /** Returns the base address of the service. */
     public URI address() {
         return URI.create("http://127.0.0.1:" + HttpServers.port(mServer));
     }
 
-    /** Returns the bodies that were run, in order, those of scoring left out. */
+    /** Returns the bodies of the requests that were run, in order, without scoring requests. */
     public List<String> log() {
         return List.copyOf(mLog);
     }
@@ -93,12 +94,12 @@
         if (!scoring) {
             mLog.add(new String(body, StandardCharsets.UTF_8));
         }
-        byte[] answer =
+        byte[] response =
                 scoring
                         ? Integer.toString(body.length % 100).getBytes(StandardCharsets.UTF_8)
                         : body;
         mTimer.schedule(
-                () -> out.sendWhole(200, JSON, answer), mServiceMillis, TimeUnit.MILLISECONDS);
+                () -> out.sendWhole(200, JSON, response), mServiceMillis, TimeUnit.MILLISECONDS);
         return true;
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/package-info.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-ins for endpoints: a model engine and a plain service. */
+/** Stand-ins of endpoints: a model engine and a plain service. */
 @NullMarked
 package org.ebonyrun.standin.engine;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Deployment.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Deployment.java
@@ -4,16 +4,16 @@
 import org.ebonyrun.standin.virtual.EngineModel;
 
 /**
- * A deployment of the brief, as the experiment plays it.
+ * A deployment that experiments simulate.
  *
- * @param name its name
- * @param engines the engine service and how many samplers it has
- * @param engineCount samplers
- * @param domains failure domains
- * @param callTargetMillis lateness target of calls, in milliseconds
- * @param stalenessVersions staleness bound of its trainers
- * @param trainerIdleMillis tolerated idle time, in milliseconds
- * @param trainers how many trainers share the engines
+ * @param name the name in reports
+ * @param engineService the name of the engine service
+ * @param engineCount number of engines
+ * @param domains names of the failure domains
+ * @param callTargetMillis target latency of calls, in milliseconds
+ * @param stalenessVersions staleness bound of the trainers, in versions
+ * @param trainerIdleMillis tolerated idle time of a trainer, in milliseconds
+ * @param trainers number of trainers that share the engines
  */
 public record Deployment(
         String name,
@@ -24,23 +24,23 @@
         long stalenessVersions,
         long trainerIdleMillis,
         int trainers) {
-    /** Slots of each engine. */
+    /** Number of slots of each engine. */
     public static final int SLOTS = 8;
 
-    /** Mean tokens of a call's answer. */
+    /** Mean number of tokens in the response to a call. */
     public static final int CALL_TOKENS = 30;
 
-    /** Mean tokens of a sample. */
+    /** Mean number of tokens of a sample. */
     public static final int SAMPLE_TOKENS = 200;
 
-    /** Tokens of a prompt. */
+    /** Number of tokens of a prompt. */
     public static final int PROMPT_TOKENS = 400;
 
     private static final long TOKEN_MICROS = 4_000;
     private static final double BATCH_SLOWDOWN = 0.6;
     private static final long PREFILL_MICROS = 150;
 
-    /** Returns the deployment of Carpatica. */
+    /** Returns the deployment named Carpatica. */
     public static Deployment carpatica() {
         return new Deployment(
                 "carpatica",
@@ -53,7 +53,7 @@
                 2);
     }
 
-    /** Returns the deployment of Tavua. */
+    /** Returns the deployment named Tavua. */
     public static Deployment tavua() {
         return new Deployment(
                 "tavua",
@@ -66,18 +66,18 @@
                 2);
     }
 
-    /** Returns the model of its engines. */
+    /** Returns the performance model of the engines. */
     EngineModel engineModel() {
         return new EngineModel(
                 false, SLOTS, TOKEN_MICROS, BATCH_SLOWDOWN, PREFILL_MICROS, 16, 8, 1_000, true);
     }
 
-    /** Returns the tokens that all engines together generate in a second when full. */
+    /** Returns the throughput of all engines with all slots in use, in tokens per second. */
     double capacity() {
         return engineCount * SLOTS * 1e6 / (TOKEN_MICROS * (1 + BATCH_SLOWDOWN));
     }
 
-    /** Returns the operators' configuration. */
+    /** Returns the text of the operator configuration. */
     String config() {
         StringBuilder text = new StringBuilder();
         text.append("services: {").append(engineService).append(": {kind: engine}}\nclasses:\n");
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Experiment.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Experiment.java
@@ -5,20 +5,20 @@
 import java.util.stream.IntStream;
 import org.ebonyrun.standin.virtual.PolicySet;
 
-/** Runs deployments, scenarios and policies over seeds. Stateless and thread safe. */
+/** Runs combinations of deployment, scenario and policy over seeds. Stateless and thread safe. */
 public final class Experiment {
     private Experiment() {}
 
     /**
-     * A part of an experiment.
+     * One combination to measure.
      *
      * @param deployment the deployment
      * @param scenario the scenario
-     * @param policy the policy
+     * @param policy the policies
      */
     public record Cell(Deployment deployment, Scenario scenario, PolicySet policy) {}
 
-    /** Runs each cell over the given number of seeds, on all processors. */
+    /** Runs each cell with the given number of seeds, in parallel on all processors. */
     public static List<Row> run(List<Cell> cells, int seeds, int seconds) {
         return cells.parallelStream().map(cell -> row(cell, seeds, seconds)).toList();
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/ExperimentRun.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/ExperimentRun.java
@@ -24,17 +24,19 @@
 /**
  * One run of a deployment under a scenario and a policy.
  *
- * <p>Half of the offered tokens are calls that arrive at random; the other half are the steps of
- * trainers that train as long as their engines' share takes at load 1. Lengths are heavy-tailed.
+ * <p>Half of the offered tokens belong to calls with random (Poisson) arrivals; the other half
+ * belong to the steps of trainers. Training on a step takes 10 s, which is as long as the engines
+ * at full throughput need for one step of each trainer at load 1. Lengths are heavy-tailed
+ * (log-normal).
  *
  * <p>Not thread safe; a run is a function of its seed.
  */
 final class ExperimentRun {
-    private static final long WARM_UP = Nanos.ofMillis(20_000);
-    private static final long CALL_TIMEOUT_TOKENS = 4_000;
+    private static final long WARM_UP_NANOS = Nanos.ofMillis(20_000);
+    private static final long MAX_TOKENS = 4_000;
     private static final int SAMPLES_PER_GROUP = 4;
     private static final long TRAIN_MILLIS = 10_000;
-    private static final double STEP_SECONDS = 20;
+    private static final double STEP_PERIOD_SECONDS = 20;
     private static final double CALL_SHARE = 0.5;
     private static final double LENGTH_SIGMA = 0.6;
     private static final double SLOW_FACTOR = 3;
@@ -43,69 +45,73 @@
 
     private final Deployment mDeployment;
     private final Scenario mScenario;
-    private final long mLength;
-    private final VirtualDeployment mWorld;
+    private final long mDurationNanos;
+    private final VirtualDeployment mVirtualDeployment;
     private final Random mRandom;
     private final List<VirtualTrainer> mTrainers = new ArrayList<>();
-    private final Histogram mLateness = new Histogram(3_600_000, 3);
-    private final Set<String> mAnsweredRuns = new HashSet<>();
+    private final Histogram mLatencyMillis = new Histogram(3_600_000, 3);
+    private final Set<String> mAnsweredRunIds = new HashSet<>();
     private long mCalls;
-    private long mInTime;
-    private long mAnswered;
-    private long mRefused;
-    private int mTurn;
+    private long mCallsInTime;
+    private long mAnsweredCalls;
+    private long mRefusedCalls;
+    private int mNextTurn;
 
     ExperimentRun(
-            Deployment deployment, Scenario scenario, PolicySet policy, long seed, int seconds) {
+            Deployment deployment, Scenario scenario, PolicySet policies, long seed, int seconds) {
         mDeployment = deployment;
         mScenario = scenario;
-        mLength = Nanos.ofMillis(seconds * 1_000L);
+        mDurationNanos = Nanos.ofMillis(seconds * 1_000L);
         mRandom = new Random(seed);
-        mWorld = VirtualDeployment.create(seed, FaultPlan.none(), policy);
+        mVirtualDeployment = VirtualDeployment.create(seed, FaultPlan.none(), policies);
         for (String domain : deployment.domains()) {
-            mWorld.addEntry("entry-" + domain, domain);
+            mVirtualDeployment.addEntry("entry-" + domain, domain);
         }
         for (int i = 0; i < deployment.engineCount(); i++) {
             String domain = deployment.domains().get(i % deployment.domains().size());
-            mWorld.addAgent(
+            mVirtualDeployment.addAgent(
                     "sampler-" + i, domain, deployment.engineService(), deployment.engineModel());
         }
         for (int i = 0; i < deployment.trainers(); i++) {
-            mTrainers.add(trainer(i));
+            mTrainers.add(createTrainer(i));
         }
     }
 
-    /** Plays the run and returns its figures. */
+    /** Simulates the run and returns its figures. */
     Figures run() {
-        long start = mWorld.clock().now();
-        mWorld.start();
-        mWorld.clock()
+        long start = mVirtualDeployment.clock().now();
+        mVirtualDeployment.start();
+        mVirtualDeployment
+                .clock()
                 .schedule(
                         Nanos.ofMillis(500),
-                        () -> mWorld.applyConfig(0, mDeployment.config(), "n", result -> {}));
-        mWorld.clock()
+                        () ->
+                                mVirtualDeployment.applyConfig(
+                                        0, mDeployment.config(), "n", result -> {}));
+        mVirtualDeployment
+                .clock()
                 .schedule(Nanos.ofMillis(2_000), () -> mTrainers.forEach(VirtualTrainer::start));
-        mWorld.clock().schedule(Nanos.ofMillis(2_000), () -> nextCall(start));
-        mWorld.clock().schedule(WARM_UP + mLength / 3, this::strike);
+        mVirtualDeployment.clock().schedule(Nanos.ofMillis(2_000), () -> scheduleNextCall(start));
+        mVirtualDeployment.clock().schedule(WARM_UP_NANOS + mDurationNanos / 3, this::injectFault);
         if (mScenario.injectedFault() == Scenario.InjectedFault.SLOW_ENGINE) {
-            mWorld.slowEndpoint(mWorld.agents().get(0), SLOW_FACTOR);
+            mVirtualDeployment.slowEndpoint(mVirtualDeployment.agents().get(0), SLOW_FACTOR);
         }
-        mWorld.clock().runUntil(start + WARM_UP + mLength);
-        return figures();
+        mVirtualDeployment.clock().runUntil(start + WARM_UP_NANOS + mDurationNanos);
+        return computeFigures();
     }
 
-    private VirtualTrainer trainer(int index) {
+    private VirtualTrainer createTrainer(int index) {
         double tokens =
                 mScenario.load()
                         * (1 - CALL_SHARE)
                         * mDeployment.capacity()
-                        * STEP_SECONDS
+                        * STEP_PERIOD_SECONDS
                         / mDeployment.trainers();
         int samples = (int) Math.round(tokens / Deployment.SAMPLE_TOKENS);
         int groups = Math.max(1, samples / SAMPLES_PER_GROUP);
         Random lengths = new Random(mRandom.nextLong());
         return VirtualTrainer.create(
-                mWorld,
+                mVirtualDeployment,
                 new VirtualTrainer.Options(
                         TrainerId.of("trainer-" + index),
                         ClassName.of("rollout-" + index),
@@ -113,70 +119,72 @@
                         groups,
                         SAMPLES_PER_GROUP,
                         Deployment.PROMPT_TOKENS,
-                        number -> length(lengths, Deployment.SAMPLE_TOKENS),
+                        number -> drawLength(lengths, Deployment.SAMPLE_TOKENS),
                         TRAIN_MILLIS,
                         false));
     }
 
-    private void strike() {
-        VirtualAgent first = mWorld.agents().get(0);
+    private void injectFault() {
+        VirtualAgent first = mVirtualDeployment.agents().get(0);
         switch (mScenario.injectedFault()) {
-            case ENGINE_CRASH -> mWorld.crashEndpoint(first, CRASH_NANOS);
-            case STORE_OUTAGE -> mWorld.startStoreOutage(OUTAGE_NANOS);
-            case DOMAIN_LOST -> mWorld.failDomain(mDeployment.domains().get(0));
+            case ENGINE_CRASH -> mVirtualDeployment.crashEndpoint(first, CRASH_NANOS);
+            case STORE_OUTAGE -> mVirtualDeployment.startStoreOutage(OUTAGE_NANOS);
+            case DOMAIN_LOST -> mVirtualDeployment.failDomain(mDeployment.domains().get(0));
             default -> {
-                // Nothing goes wrong at this moment.
+                // The other faults are not injected at this time.
             }
         }
     }
 
-    private void nextCall(long start) {
+    private void scheduleNextCall(long start) {
         double perSecond =
                 mScenario.load() * CALL_SHARE * mDeployment.capacity() / Deployment.CALL_TOKENS;
         double gap = -Math.log(1 - mRandom.nextDouble()) / perSecond;
-        mWorld.clock()
+        mVirtualDeployment
+                .clock()
                 .schedule(
                         (long) (gap * Nanos.PER_SECOND),
                         () -> {
-                            call(mWorld.clock().now() - start >= WARM_UP);
-                            nextCall(start);
+                            sendCall(mVirtualDeployment.clock().now() - start >= WARM_UP_NANOS);
+                            scheduleNextCall(start);
                         });
     }
 
-    private void call(boolean counted) {
-        String prompt = "call-" + mTurn;
-        int tokens = length(mRandom, Deployment.CALL_TOKENS);
-        long begin = mWorld.clock().now();
+    private void sendCall(boolean measured) {
+        String prompt = "call-" + mNextTurn;
+        int tokens = drawLength(mRandom, Deployment.CALL_TOKENS);
+        long sentAt = mVirtualDeployment.clock().now();
         VirtualCall call =
                 new VirtualCall(
                         ClassName.of("lookup"),
                         new VirtualRequest(prompt, prompt, Deployment.CALL_TOKENS, tokens),
                         true,
                         null);
-        mWorld.sendCall(mTurn++, call, end -> onEnd(end, begin, counted));
+        mVirtualDeployment.sendCall(
+                mNextTurn++, call, outcome -> onOutcome(outcome, sentAt, measured));
     }
 
-    private void onEnd(CallOutcome end, long begin, boolean counted) {
-        if (end.text() != null) {
-            mAnsweredRuns.add(end.text().substring(0, end.text().indexOf(':')));
+    private void onOutcome(CallOutcome outcome, long sentAt, boolean measured) {
+        if (outcome.text() != null) {
+            mAnsweredRunIds.add(outcome.text().substring(0, outcome.text().indexOf(':')));
         }
-        if (!counted) {
+        if (!measured) {
             return;
         }
         mCalls++;
-        if (end.text() != null) {
-            long millis = Nanos.toMillis(mWorld.clock().now() - begin);
-            mAnswered++;
-            mLateness.recordValue(Math.min(millis, 3_600_000));
+        if (outcome.text() != null) {
+            long millis = Nanos.toMillis(mVirtualDeployment.clock().now() - sentAt);
+            mAnsweredCalls++;
+            mLatencyMillis.recordValue(Math.min(millis, 3_600_000));
             if (millis <= mDeployment.callTargetMillis()) {
-                mInTime++;
+                mCallsInTime++;
             }
-        } else if (end.isNotRun()) {
-            mRefused++;
+        } else if (outcome.isNotRun()) {
+            mRefusedCalls++;
         }
     }
 
-    private Figures figures() {
+    private Figures computeFigures() {
         double idle = 0;
         long steps = 0;
         double age = 0;
@@ -192,47 +200,54 @@
             }
         }
         return new Figures(
-                share(mInTime, mAnswered),
-                share(mRefused, mCalls),
-                share(mCalls - mRefused - mAnswered, mCalls),
-                mLateness.getValueAtPercentile(50),
-                mLateness.getValueAtPercentile(99),
+                share(mCallsInTime, mAnsweredCalls),
+                share(mRefusedCalls, mCalls),
+                share(mCalls - mRefusedCalls - mAnsweredCalls, mCalls),
+                mLatencyMillis.getValueAtPercentile(50),
+                mLatencyMillis.getValueAtPercentile(99),
                 steps == 0 ? Double.NaN : idle / steps / Nanos.PER_SECOND,
                 steps,
                 samples == 0 ? 0 : age / samples,
                 maxAge,
-                wasted());
+                wastedShare());
     }
 
-    private double wasted() {
-        Set<String> wanted = new HashSet<>(mAnsweredRuns);
+    /**
+     * Returns the share of generated tokens whose run has ended without a delivery. Finished
+     * samples don't count as wasted, because their trainer may still pull them.
+     */
+    private double wastedShare() {
+        Set<String> deliveredRunIds = new HashSet<>(mAnsweredRunIds);
         for (VirtualTrainer trainer : mTrainers) {
             trainer.samples()
-                    .forEach(s -> wanted.add(s.text().substring(0, s.text().indexOf(':'))));
+                    .forEach(
+                            s -> deliveredRunIds.add(s.text().substring(0, s.text().indexOf(':'))));
         }
-        long lost = 0;
-        long all = 0;
-        for (VirtualAgent agent : mWorld.agents()) {
+        long wastedTokens = 0;
+        long allTokens = 0;
+        for (VirtualAgent agent : mVirtualDeployment.agents()) {
             for (VirtualRun run : agent.engine().log()) {
-                all += run.tokens();
+                allTokens += run.tokens();
                 boolean ended = run.isFinished() || run.isStopped();
-                boolean heldBack = run.isFinished() && run.prompt().startsWith("trainer-");
-                if (ended && !heldBack && !wanted.contains(run.runId())) {
-                    lost += run.tokens();
+                boolean finishedSample = run.isFinished() && run.prompt().startsWith("trainer-");
+                if (ended && !finishedSample && !deliveredRunIds.contains(run.runId())) {
+                    wastedTokens += run.tokens();
                 }
             }
         }
-        return share(lost, all);
+        return share(wastedTokens, allTokens);
     }
 
     private static double share(long part, long whole) {
         return whole == 0 ? 0 : (double) part / whole;
     }
 
-    /** Draws a heavy-tailed length with the given mean. */
-    private static int length(Random random, int mean) {
+    /**
+     * Draws a log-normal length, capped at {@link #MAX_TOKENS}, whose mean is about the given one.
+     */
+    private static int drawLength(Random random, int mean) {
         double scale =
                 Math.exp(LENGTH_SIGMA * random.nextGaussian() - LENGTH_SIGMA * LENGTH_SIGMA / 2);
-        return (int) Math.max(1, Math.min(CALL_TIMEOUT_TOKENS, mean * scale));
+        return (int) Math.max(1, Math.min(MAX_TOKENS, mean * scale));
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Figures.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Figures.java
@@ -3,18 +3,19 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * The figures of one run, or their means over several.
+ * The figures measured in one run, or their means over several runs.
  *
- * @param inTime share of answered calls that were in time
- * @param refused share of calls that were refused as not run
- * @param failed share of calls that ended otherwise
- * @param p50Millis median lateness of answered calls, in milliseconds
- * @param p99Millis 99th percentile of it, in milliseconds
- * @param idleSeconds mean time that a trainer waited for a step, in seconds
- * @param steps completed steps of all trainers
- * @param meanAge mean age of delivered samples, in versions
- * @param maxAge age of the oldest delivered sample, in versions
- * @param wasted share of generated tokens that nobody got
+ * @param inTime share of answered calls that met the target latency
+ * @param refused share of calls that were reported as not run
+ * @param failed share of calls that ended in another way
+ * @param p50Millis median latency of answered calls, in milliseconds
+ * @param p99Millis 99th percentile of the latency of answered calls, in milliseconds
+ * @param idleSeconds mean time that a trainer waited for the samples of a step, in seconds
+ * @param steps number of completed steps of all trainers
+ * @param meanAge mean staleness of delivered samples, in versions
+ * @param maxAge staleness of the stalest delivered sample, in versions; a mean of runs holds their
+ *     maximum
+ * @param wasted share of generated tokens that were not delivered
  */
 public record Figures(
         @JsonProperty("in_time") double inTime,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/PolicySets.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/PolicySets.java
@@ -9,16 +9,19 @@
 import org.ebonyrun.core.routing.RoundRobinChooser;
 import org.ebonyrun.standin.virtual.PolicySet;
 
-/** The policies that are compared. Stateless and thread safe. */
+/** The policy sets that experiments compare. Stateless and thread safe. */
 public final class PolicySets {
     private PolicySets() {}
 
-    /** Returns ours and the baselines, ours first. */
+    /** Returns the standard policies, followed by the baselines. */
     public static List<PolicySet> compared() {
-        return List.of(PolicySet.standard(), arrival(), staticPriority(), tokenCounter());
+        return List.of(PolicySet.standard(), fifoRoundRobin(), staticPriority(), tokenCounter());
     }
 
-    /** Returns ours with one idea switched off, or a rejected one switched on. */
+    /**
+     * Returns the standard policies, and variants that disable one mechanism or enable one that was
+     * rejected for the standard policies.
+     */
     public static List<PolicySet> ablations() {
         AttemptPolicy standard = AttemptPolicy.standard();
         AttemptPolicy noReserve =
@@ -27,20 +30,20 @@
         AttemptPolicy noLaxity = new AttemptPolicy(QueueOrder.fifo(), standard.admission(), true);
         return List.of(
                 PolicySet.standard(),
-                ours("without call reserve", noReserve, StragglerPolicy.hedgeTail(), 0),
-                ours("without early refusal", noRefusal, StragglerPolicy.hedgeTail(), 0),
-                ours("without least laxity", noLaxity, StragglerPolicy.hedgeTail(), 0),
-                ours("without second attempts", standard, StragglerPolicy.neverHedge(), 0),
-                ours("with prefix affinity", standard, StragglerPolicy.hedgeTail(), 2));
+                variant("without call reserve", noReserve, StragglerPolicy.hedgeTail(), 0),
+                variant("without early refusal", noRefusal, StragglerPolicy.hedgeTail(), 0),
+                variant("without least laxity", noLaxity, StragglerPolicy.hedgeTail(), 0),
+                variant("without second attempts", standard, StragglerPolicy.neverHedge(), 0),
+                variant("with prefix affinity", standard, StragglerPolicy.hedgeTail(), 2));
     }
 
-    private static PolicySet ours(
+    private static PolicySet variant(
             String name, AttemptPolicy attempts, StragglerPolicy stragglers, int slack) {
         return new PolicySet(
                 name, attempts, domain -> LeastLoadChooser.withSlack(domain, slack), stragglers);
     }
 
-    private static PolicySet arrival() {
+    private static PolicySet fifoRoundRobin() {
         return new PolicySet(
                 "arrival, round robin",
                 new AttemptPolicy(QueueOrder.fifo(), SampleAdmission::freeSlots, false),
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Row.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Row.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * The figures of one policy in one scenario.
+ * The figures of one policy in one scenario, written as JSON.
  *
- * @param deployment the deployment
- * @param scenario the scenario
- * @param policy the policy
- * @param seeds how many seeds the means are over
- * @param mean the mean of each figure
- * @param idleSpread the standard deviation of the idle time over the seeds, in seconds
+ * @param deployment the name of the deployment
+ * @param scenario the name of the scenario
+ * @param policy the name of the policy
+ * @param seeds number of seeds, each of which gives one run
+ * @param mean the mean of each figure over the seeds
+ * @param idleSpread the standard deviation of the trainers' idle time over the seeds, in seconds
  */
 public record Row(
         @JsonProperty("deployment") String deployment,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Scenario.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Scenario.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * Load and trouble of a run.
+ * The load of a run and the fault injected into it.
  *
- * @param name its name
+ * @param name the name in reports
  * @param load offered load as a multiple of the engines' capacity
- * @param trouble what goes wrong
+ * @param injectedFault the injected fault
  */
 public record Scenario(String name, double load, InjectedFault injectedFault) {
-    /** What goes wrong in a run, a third of the way in. */
+    /** A fault, injected after a third of the measured time unless stated otherwise. */
     public enum InjectedFault {
-        /** Nothing. */
+        /** No fault. */
         NONE,
-        /** One engine is three times slower from the beginning. */
+        /** One engine is three times slower from the start. */
         SLOW_ENGINE,
         /** One engine crashes and restarts after twenty seconds. */
         ENGINE_CRASH,
-        /** The key-value service is away for a minute. */
+        /** The key-value service is unavailable for one minute. */
         STORE_OUTAGE,
-        /** One failure domain is lost for good. */
+        /** One failure domain fails permanently. */
         DOMAIN_LOST
     }
 
-    /** Returns the scenarios of a whole experiment. */
+    /** Returns all scenarios. */
     public static List<Scenario> all() {
         return List.of(
                 new Scenario("load 0.7", 0.7, InjectedFault.NONE),
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/package-info.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/package-info.java
@@ -1,4 +1,4 @@
-/** Policy experiments in virtual time: deployments, scenarios, policies and their figures. */
+/** Policy experiments in virtual time: deployments, scenarios, policies and measured figures. */
 @NullMarked
 package org.ebonyrun.standin.experiment;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/CallRecord.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/CallRecord.java
@@ -4,11 +4,11 @@
 import org.ebonyrun.standin.virtual.VirtualCall;
 
 /**
- * A call in a virtual caller's log.
+ * A call of a virtual caller and its outcome.
  *
  * @param call the call
- * @param at when it was sent, in nanoseconds of virtual time
- * @param tookNanos how long its end took
- * @param end how it ended
+ * @param sentAt the time at which it was sent, in nanoseconds of virtual time
+ * @param durationNanos the time until its outcome, in nanoseconds
+ * @param outcome the outcome that the caller saw
  */
 public record CallRecord(VirtualCall call, long sentAt, long durationNanos, CallOutcome outcome) {}
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultAudit.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultAudit.java
@@ -14,45 +14,59 @@
 import org.ebonyrun.standin.virtual.VirtualTrainer;
 
 /**
- * Checks the nine promises of the brief against the logs of endpoints, callers and trainers, and
- * that work goes on once the faults are over.
+ * Checks the guarantees of the service against the logs of endpoints, callers and trainers, and
+ * that work makes progress after the faults. The texts of violations start with a guarantee's
+ * number:
+ *
+ * <ol>
+ *   <li>A sample states the weight versions that generated it.
+ *   <li>A sample is within the staleness bound.
+ *   <li>Each sample of a step is delivered exactly once.
+ *   <li>A delivered text is complete and belongs to its request.
+ *   <li>Work that is reported as not run has not run.
+ *   <li>A non-idempotent call runs at most once.
+ *   <li>A draining agent starts no new work.
+ *   <li>Without faults, no call is interrupted.
+ *   <li>Accepted configurations are stored, adopted by all processes, and not reverted.
+ * </ol>
  *
  * <p>Not thread safe; used after a run.
  */
 final class FaultAudit {
     static final int MIN_STEPS = 3;
 
-    private static final double MIN_ANSWERED = 0.5;
+    private static final double MIN_ANSWERED_SHARE = 0.5;
 
-    private final VirtualDeployment mWorld;
+    private final VirtualDeployment mDeployment;
     private final VirtualTrainer mTrainer;
     private final List<CallRecord> mCalls;
-    private final VirtualOperators mConfigs;
-    private final FaultPlan mPlan;
-    private final Map<String, VirtualRun> mRuns = new HashMap<>();
-    private final Map<String, Integer> mRunsByPrompt = new HashMap<>();
-    private final List<String> mBroken = new ArrayList<>();
+    private final VirtualOperators mOperators;
+    private final FaultPlan mFaultPlan;
+    private final Map<String, VirtualRun> mRunsById = new HashMap<>();
+    private final Map<String, Integer> mRunCountsByPrompt = new HashMap<>();
+    private final List<String> mViolations = new ArrayList<>();
 
     FaultAudit(
-            VirtualDeployment world,
+            VirtualDeployment deployment,
             VirtualTrainer trainer,
             List<CallRecord> calls,
-            VirtualOperators configs,
-            FaultPlan plan) {
-        mWorld = world;
+            VirtualOperators operators,
+            FaultPlan faultPlan) {
+        mDeployment = deployment;
         mTrainer = trainer;
         mCalls = calls;
-        mConfigs = configs;
-        mPlan = plan;
-        world.agents()
+        mOperators = operators;
+        mFaultPlan = faultPlan;
+        deployment
+                .agents()
                 .forEach(
                         agent ->
                                 agent.engine()
                                         .log()
                                         .forEach(
                                                 run -> {
-                                                    mRuns.put(run.runId(), run);
-                                                    mRunsByPrompt.merge(
+                                                    mRunsById.put(run.runId(), run);
+                                                    mRunCountsByPrompt.merge(
                                                             run.prompt(), 1, Integer::sum);
                                                 }));
     }
@@ -63,7 +77,7 @@
         checkNonIdempotent();
         checkProcesses();
         checkProgress();
-        return List.copyOf(mBroken);
+        return List.copyOf(mViolations);
     }
 
     private void checkSamples() {
@@ -74,13 +88,18 @@
             expect(
                     sample.age() <= FaultScenario.MAX_STALENESS,
                     "2 " + slot + " is " + sample.age() + " versions old");
-            VirtualRun run = mRuns.get(runId(sample.text()));
-            expect(run != null, "4 " + slot + " is of no run");
+            VirtualRun run = mRunsById.get(runId(sample.text()));
+            expect(run != null, "4 " + slot + " belongs to no run");
             if (run != null) {
                 expect(
                         run.versions().equals(sample.versions()),
-                        "1 " + slot + " names " + sample.versions() + " of " + run.versions());
-                expect(isWhole(run, sample.text()), "4 " + slot + " is not whole");
+                        "1 "
+                                + slot
+                                + " states versions "
+                                + sample.versions()
+                                + " instead of "
+                                + run.versions());
+                expect(isComplete(run, sample.text()), "4 " + slot + " is incomplete");
             }
         }
         Map<Long, Integer> counts = new HashMap<>();
@@ -95,43 +114,48 @@
 
     private void checkCalls() {
         for (CallRecord record : mCalls) {
-            CallOutcome end = record.outcome();
+            CallOutcome outcome = record.outcome();
             String prompt = record.call().request().prompt();
-            if (end.text() != null) {
-                VirtualRun run = mRuns.get(runId(end.text()));
-                boolean own = run != null && run.prompt().equals(prompt);
-                expect(own, "4 " + prompt + " got " + end.text());
-                expect(run != null && isWhole(run, end.text()), "4 " + prompt + " got a part");
-            } else if (end.isNotRun()) {
+            if (outcome.text() != null) {
+                VirtualRun run = mRunsById.get(runId(outcome.text()));
+                boolean ownRun = run != null && run.prompt().equals(prompt);
+                expect(ownRun, "4 " + prompt + " got " + outcome.text());
+                expect(
+                        run != null && isComplete(run, outcome.text()),
+                        "4 " + prompt + " got an incomplete response");
+            } else if (outcome.isNotRun()) {
                 expect(
-                        !mRunsByPrompt.containsKey(prompt),
-                        "5 " + prompt + " ran although it was told not run: " + end.fault());
+                        !mRunCountsByPrompt.containsKey(prompt),
+                        "5 "
+                                + prompt
+                                + " ran although it was reported as not run: "
+                                + outcome.fault());
             }
         }
     }
 
     private void checkNonIdempotent() {
-        Map<String, Integer> byKey = new HashMap<>();
+        Map<String, Integer> runsByKey = new HashMap<>();
         for (CallRecord record : mCalls) {
             if (record.call().idempotent()) {
                 continue;
             }
             String prompt = record.call().request().prompt();
-            int runs = mRunsByPrompt.getOrDefault(prompt, 0);
+            int runs = mRunCountsByPrompt.getOrDefault(prompt, 0);
             String key =
                     record.call().idempotencyKey() == null
                             ? prompt
                             : record.call().idempotencyKey();
-            byKey.merge(key, runs, Integer::sum);
+            runsByKey.merge(key, runs, Integer::sum);
         }
-        byKey.forEach((key, runs) -> expect(runs <= 1, "6 " + key + " ran " + runs + " times"));
+        runsByKey.forEach((key, runs) -> expect(runs <= 1, "6 " + key + " ran " + runs + " times"));
     }
 
     private void checkProcesses() {
-        mBroken.addAll(mWorld.findProcessViolations(mConfigs.highestAcceptedVersion()));
-        mConfigs.findViolations().forEach(text -> mBroken.add("9 " + text));
-        if (mPlan.injectedCount() == 0) {
-            mConfigs.lateProcesses().forEach(text -> mBroken.add("9 after 14 s " + text));
+        mViolations.addAll(mDeployment.findProcessViolations(mOperators.highestAcceptedVersion()));
+        mOperators.findViolations().forEach(text -> mViolations.add("9 " + text));
+        if (mFaultPlan.injectedCount() == 0) {
+            mOperators.lateProcesses().forEach(text -> mViolations.add("9 after 14 s " + text));
             for (CallRecord record : mCalls) {
                 boolean interrupted =
                         record.outcome().text() == null && !record.outcome().isNotRun();
@@ -142,16 +166,16 @@
     }
 
     private void checkProgress() {
-        expect(mTrainer.isStopped(), "progress: the trainer waits for ever");
+        expect(mTrainer.isStopped(), "progress: the trainer has not stopped");
         int steps = mTrainer.idleNanos().size();
-        expect(steps >= MIN_STEPS, "progress: only " + steps + " steps");
+        expect(steps >= MIN_STEPS, "progress: only " + steps + " steps completed");
         long answered = mCalls.stream().filter(call -> call.outcome().text() != null).count();
         expect(
-                answered >= mCalls.size() * MIN_ANSWERED,
+                answered >= mCalls.size() * MIN_ANSWERED_SHARE,
                 "progress: only " + answered + " of " + mCalls.size() + " calls answered");
     }
 
-    private static boolean isWhole(VirtualRun run, String text) {
+    private static boolean isComplete(VirtualRun run, String text) {
         return run.isFinished() && run.completeText(FaultScenario.TOKENS_PER_PIECE).equals(text);
     }
 
@@ -159,9 +183,9 @@
         return text.substring(0, Math.max(0, text.indexOf(':')));
     }
 
-    private void expect(boolean holds, String broken) {
-        if (!holds) {
-            mBroken.add(broken);
+    private void expect(boolean condition, String violation) {
+        if (!condition) {
+            mViolations.add(violation);
         }
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultOutcome.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultOutcome.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What a run under faults came to.
+ * The result of a run with faults.
  *
  * @param seed the seed of the run
- * @param struck how many faults struck
- * @param calls calls that ended
- * @param answered calls that were answered
- * @param steps steps that were completed
- * @param broken promises that were broken; empty if all were kept
+ * @param injectedFaults number of injected faults
+ * @param calls number of calls that ended
+ * @param answered number of calls that were answered
+ * @param steps number of completed steps
+ * @param violations violations of the guarantees; empty if all hold
  */
 public record FaultOutcome(
         long seed,
@@ -19,7 +19,7 @@
         int answered,
         int steps,
         List<String> violations) {
-    /** Returns whether every promise was kept. */
+    /** Returns whether all guarantees hold. */
     public boolean hasPassed() {
         return violations.isEmpty();
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultScenario.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultScenario.java
@@ -18,25 +18,25 @@
 import org.ebonyrun.standin.virtual.VirtualTrainer;
 
 /**
- * One run of every path under a plan of faults: calls, non-idempotent calls, a trainer's steps,
- * weight swaps, configuration changes by racing operators, the drain of an agent and of an entry.
+ * One run of all paths with injected faults: calls, non-idempotent calls, a trainer's steps, weight
+ * swaps, concurrent configuration changes by two operators, the drain of an agent and of an entry.
  *
  * <p>Not thread safe; a run is a function of its seed and plan.
  */
 public final class FaultScenario {
-    static final String ENGINES = "model-servers";
-    static final String PLAIN = "queue-app";
+    static final String ENGINE_SERVICE = "model-servers";
+    static final String PLAIN_SERVICE = "queue-app";
     static final long MAX_STALENESS = 2;
     static final int TOKENS_PER_PIECE = EngineModel.smallEngine(true).tokensPerPiece();
 
     private static final ClassName LOOKUP = ClassName.of("lookup");
     private static final ClassName SYNC = ClassName.of("sync");
-    private static final long LOAD_END = Nanos.ofMillis(30_000);
-    private static final long RUN_END = Nanos.ofMillis(110_000);
-    private static final long LOOKUP_PERIOD = Nanos.ofMillis(150);
-    private static final long SYNC_PERIOD = Nanos.ofMillis(400);
+    private static final long LOAD_END_NANOS = Nanos.ofMillis(30_000);
+    private static final long RUN_END_NANOS = Nanos.ofMillis(110_000);
+    private static final long LOOKUP_PERIOD_NANOS = Nanos.ofMillis(150);
+    private static final long SYNC_PERIOD_NANOS = Nanos.ofMillis(400);
     private static final long RETRY_NANOS = Nanos.ofMillis(500);
-    private static final int SYNC_TRIES = 3;
+    private static final int MAX_SYNC_ATTEMPTS = 3;
     private static final String CONFIG =
             """
             services:
@@ -60,37 +60,38 @@
             """;
 
     private final long mSeed;
-    private final FaultPlan mPlan;
-    private final VirtualDeployment mWorld;
+    private final FaultPlan mFaultPlan;
+    private final VirtualDeployment mDeployment;
     private final Random mRandom;
     private final VirtualTrainer mTrainer;
     private final List<CallRecord> mCalls = new ArrayList<>();
-    private final VirtualOperators mConfigs;
-    private int mNumbers;
-    private int mTurns;
+    private final VirtualOperators mOperators;
+    private int mNextNumber;
+    private int mNextTurn;
 
     private FaultScenario(long seed, FaultPlan plan) {
         mSeed = seed;
-        mPlan = plan;
+        mFaultPlan = plan;
         mRandom = new Random(seed);
-        mWorld = VirtualDeployment.create(seed, plan, PolicySet.standard());
-        mWorld.addEntry("entry-1", "hall-a");
-        mWorld.addEntry("entry-2", "hall-b");
-        mWorld.addEntry("entry-3", "hall-c");
+        mDeployment = VirtualDeployment.create(seed, plan, PolicySet.standard());
+        mDeployment.addEntry("entry-1", "hall-a");
+        mDeployment.addEntry("entry-2", "hall-b");
+        mDeployment.addEntry("entry-3", "hall-c");
         for (int i = 0; i < 4; i++) {
             String domain = "hall-" + (char) ('a' + i % 3);
-            mWorld.addAgent("sampler-" + i, domain, ENGINES, EngineModel.smallEngine(i != 1));
+            mDeployment.addAgent(
+                    "sampler-" + i, domain, ENGINE_SERVICE, EngineModel.smallEngine(i != 1));
         }
-        mWorld.addAgent("queue-0", "hall-a", PLAIN, EngineModel.smallService());
-        mWorld.addAgent("queue-1", "hall-b", PLAIN, EngineModel.smallService());
-        mConfigs = new VirtualOperators(mWorld);
+        mDeployment.addAgent("queue-0", "hall-a", PLAIN_SERVICE, EngineModel.smallService());
+        mDeployment.addAgent("queue-1", "hall-b", PLAIN_SERVICE, EngineModel.smallService());
+        mOperators = new VirtualOperators(mDeployment);
         mTrainer =
                 VirtualTrainer.create(
-                        mWorld,
+                        mDeployment,
                         new VirtualTrainer.Options(
                                 TrainerId.of("trainer"),
                                 ClassName.of("rollout"),
-                                ServiceName.of(ENGINES),
+                                ServiceName.of(ENGINE_SERVICE),
                                 4,
                                 2,
                                 10,
@@ -99,84 +100,85 @@
                                 true));
     }
 
-    /** Runs the scenario under a plan and checks every promise. */
+    /** Runs the scenario with the faults of a plan and checks all guarantees. */
     public static FaultOutcome run(long seed, FaultPlan plan) {
         FaultScenario scenario = new FaultScenario(seed, plan);
-        scenario.play();
+        scenario.runWorkload();
         return scenario.audit();
     }
 
-    private void play() {
-        long start = mWorld.clock().now();
-        mWorld.start();
-        at(500, () -> mConfigs.apply(0, CONFIG.formatted(1_000)));
-        at(1_500, mTrainer::start);
-        at(1_500, () -> repeat(start, LOOKUP_PERIOD, this::lookup));
-        at(1_600, () -> repeat(start, SYNC_PERIOD, this::sync));
-        at(6_000, () -> mConfigs.apply(1, CONFIG.formatted(1_100)));
-        at(6_001, () -> mConfigs.apply(2, CONFIG.formatted(1_200)));
-        at(14_000, () -> mConfigs.apply(1, CONFIG.formatted(1_300)));
-        at(16_000, () -> drain(mWorld.agents().get(3)));
-        at(21_000, () -> drain(mWorld.entries().get(2)));
-        at(Nanos.toMillis(LOAD_END), this::stopTrainer);
-        mWorld.clock().runUntil(start + RUN_END);
+    private void runWorkload() {
+        long start = mDeployment.clock().now();
+        mDeployment.start();
+        schedule(500, () -> mOperators.apply(0, CONFIG.formatted(1_000)));
+        schedule(1_500, mTrainer::start);
+        schedule(1_500, () -> runRepeatedly(start, LOOKUP_PERIOD_NANOS, this::sendLookup));
+        schedule(1_600, () -> runRepeatedly(start, SYNC_PERIOD_NANOS, this::startSync));
+        schedule(6_000, () -> mOperators.apply(1, CONFIG.formatted(1_100)));
+        schedule(6_001, () -> mOperators.apply(2, CONFIG.formatted(1_200)));
+        schedule(14_000, () -> mOperators.apply(1, CONFIG.formatted(1_300)));
+        schedule(16_000, () -> drain(mDeployment.agents().get(3)));
+        schedule(21_000, () -> drain(mDeployment.entries().get(2)));
+        schedule(Nanos.toMillis(LOAD_END_NANOS), this::stopTrainer);
+        mDeployment.clock().runUntil(start + RUN_END_NANOS);
     }
 
-    /** Stops the trainer once it has completed enough steps to judge. */
+    /** Stops the trainer once it has completed the steps that the audit requires. */
     private void stopTrainer() {
         if (mTrainer.idleNanos().size() >= FaultAudit.MIN_STEPS) {
             mTrainer.stop();
         } else {
-            at(Nanos.toMillis(RETRY_NANOS), this::stopTrainer);
+            schedule(Nanos.toMillis(RETRY_NANOS), this::stopTrainer);
         }
     }
 
     private FaultOutcome audit() {
-        List<String> broken = new FaultAudit(mWorld, mTrainer, mCalls, mConfigs, mPlan).check();
+        List<String> violations =
+                new FaultAudit(mDeployment, mTrainer, mCalls, mOperators, mFaultPlan).check();
         int answered = (int) mCalls.stream().filter(call -> call.outcome().text() != null).count();
         return new FaultOutcome(
                 mSeed,
-                mPlan.injectedCount(),
+                mFaultPlan.injectedCount(),
                 mCalls.size(),
                 answered,
                 mTrainer.idleNanos().size(),
-                broken);
+                violations);
     }
 
-    private void at(long millis, Runnable action) {
-        mWorld.clock().schedule(Nanos.ofMillis(millis), action);
+    private void schedule(long millis, Runnable action) {
+        mDeployment.clock().schedule(Nanos.ofMillis(millis), action);
     }
 
-    private void repeat(long start, long period, Runnable action) {
-        if (mWorld.clock().now() - start < LOAD_END) {
+    private void runRepeatedly(long start, long period, Runnable action) {
+        if (mDeployment.clock().now() - start < LOAD_END_NANOS) {
             action.run();
-            mWorld.clock().schedule(period, () -> repeat(start, period, action));
+            mDeployment.clock().schedule(period, () -> runRepeatedly(start, period, action));
         }
     }
 
-    private void lookup() {
+    private void sendLookup() {
         int tokens = 5 + mRandom.nextInt(20);
         boolean idempotent = mRandom.nextInt(4) > 0;
-        String prompt = "lookup-" + mNumbers++;
+        String prompt = "lookup-" + mNextNumber++;
         send(
                 new VirtualCall(
                         LOOKUP, new VirtualRequest(prompt, prompt, 5, tokens), idempotent, null));
     }
 
-    private void sync() {
-        String key = "sync-" + mNumbers++;
-        trySync(key, 0);
+    private void startSync() {
+        String key = "sync-" + mNextNumber++;
+        sendSync(key, 0);
     }
 
-    private void trySync(String key, int attempt) {
+    private void sendSync(String key, int attempt) {
         String prompt = key + "/" + attempt;
         VirtualCall call =
                 new VirtualCall(SYNC, new VirtualRequest(prompt, prompt, 0, 1), false, key);
         send(
                 call,
                 () -> {
-                    if (attempt + 1 < SYNC_TRIES) {
-                        mWorld.clock().schedule(RETRY_NANOS, () -> trySync(key, attempt + 1));
+                    if (attempt + 1 < MAX_SYNC_ATTEMPTS) {
+                        mDeployment.clock().schedule(RETRY_NANOS, () -> sendSync(key, attempt + 1));
                     }
                 });
     }
@@ -185,24 +187,26 @@
         send(call, () -> {});
     }
 
-    private void send(VirtualCall call, Runnable onNoAnswer) {
-        long at = mWorld.clock().now();
-        mWorld.sendCall(
-                mTurns++,
+    private void send(VirtualCall call, Runnable onNotAnswered) {
+        long sentAt = mDeployment.clock().now();
+        mDeployment.sendCall(
+                mNextTurn++,
                 call,
-                end -> {
-                    mCalls.add(new CallRecord(call, at, mWorld.clock().now() - at, end));
-                    if (end.text() == null) {
-                        onNoAnswer.run();
+                outcome -> {
+                    mCalls.add(
+                            new CallRecord(
+                                    call, sentAt, mDeployment.clock().now() - sentAt, outcome));
+                    if (outcome.text() == null) {
+                        onNotAnswered.run();
                     }
                 });
     }
 
     private void drain(VirtualAgent agent) {
-        mWorld.drain(agent);
+        mDeployment.drain(agent);
     }
 
     private void drain(VirtualEntry entry) {
-        mWorld.drain(entry);
+        mDeployment.drain(entry);
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/VirtualOperators.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/VirtualOperators.java
@@ -12,109 +12,122 @@
 import org.ebonyrun.daemon.store.ConfigStore;
 import org.ebonyrun.standin.virtual.VirtualDeployment;
 
-/** Operators who change the configuration, and what they were told. Not thread safe. */
+/**
+ * Virtual operators who change the configuration. Records the responses that they received.
+ *
+ * <p>Not thread safe.
+ */
 final class VirtualOperators {
     private static final long RETRY_NANOS = Nanos.ofMillis(1_000);
-    private static final int MAX_TRIES = 8;
-    private static final long SPREAD_NANOS = Nanos.ofMillis(14_000);
+    private static final int MAX_RETRIES = 8;
+    private static final long ADOPTION_NANOS = Nanos.ofMillis(14_000);
 
-    private final VirtualDeployment mWorld;
-    private final Map<Long, String> mAccepted = new HashMap<>();
-    private final List<String> mNotInForce = new ArrayList<>();
-    private final List<String> mWrong = new ArrayList<>();
-    private final Set<String> mRefused = new HashSet<>();
-    private int mNonces;
+    private final VirtualDeployment mDeployment;
+    private final Map<Long, String> mAcceptedNonces = new HashMap<>();
+    private final List<String> mLateProcesses = new ArrayList<>();
+    private final List<String> mViolations = new ArrayList<>();
+    private final Set<String> mRefusedNonces = new HashSet<>();
+    private int mNextNonce;
 
-    VirtualOperators(VirtualDeployment world) {
-        mWorld = world;
+    VirtualOperators(VirtualDeployment deployment) {
+        mDeployment = deployment;
     }
 
-    /** Applies a text at one entry, on top of the version that is in force there. */
+    /** Applies a configuration text at one entry, on top of the version adopted there. */
     void apply(int turn, String text) {
-        apply(turn, text, "nonce-" + mNonces++, MAX_TRIES);
+        apply(turn, text, "nonce-" + mNextNonce++, MAX_RETRIES);
     }
 
-    /** Repeats the same change while the key-value service is away, as the client does. */
-    private void apply(int turn, String text, String nonce, int triesLeft) {
-        mWorld.applyConfig(
+    /** Retries the same change while the key-value service is unavailable, as the client does. */
+    private void apply(int turn, String text, String nonce, int retriesLeft) {
+        mDeployment.applyConfig(
                 turn,
                 text,
                 nonce,
                 result ->
                         result.fold(
                                 config -> {
-                                    accepted(config.version(), nonce);
+                                    onAccepted(config.version(), nonce);
                                     return true;
                                 },
                                 fault -> {
                                     if (fault.outcome() == Outcome.FAILED) {
-                                        mWrong.add("operator was told " + fault);
+                                        mViolations.add("an operator got " + fault);
                                     }
                                     if (fault.code() == FaultCode.CONFLICT) {
-                                        mRefused.add(nonce);
+                                        mRefusedNonces.add(nonce);
                                     }
-                                    boolean away = fault.code() == FaultCode.PLATFORM_UNAVAILABLE;
-                                    if (away && triesLeft > 0) {
-                                        Runnable again =
-                                                () -> apply(turn + 1, text, nonce, triesLeft - 1);
-                                        mWorld.clock().schedule(RETRY_NANOS, again);
+                                    boolean unavailable =
+                                            fault.code() == FaultCode.PLATFORM_UNAVAILABLE;
+                                    if (unavailable && retriesLeft > 0) {
+                                        Runnable retry =
+                                                () -> apply(turn + 1, text, nonce, retriesLeft - 1);
+                                        mDeployment.clock().schedule(RETRY_NANOS, retry);
                                     }
                                     return false;
                                 }));
     }
 
-    /** Returns the highest version that an operator was told is accepted. */
+    /** Returns the highest version reported to an operator as accepted; zero if there is none. */
     long highestAcceptedVersion() {
-        return mAccepted.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
+        return mAcceptedNonces.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
-    /** Returns what operators were told that is not true. */
+    /**
+     * Returns the responses to operators that were wrong. Reads the stored configuration and
+     * advances the clock by 14 s.
+     */
     List<String> findViolations() {
-        List<String> wrong = new ArrayList<>(mWrong);
-        ConfigStore.create(mWorld.store())
+        List<String> violations = new ArrayList<>(mViolations);
+        ConfigStore.create(mDeployment.store())
                 .read()
                 .thenAccept(
                         result ->
                                 result.map(
                                         current -> {
-                                            compare(current.config().nonces(), wrong);
+                                            compareWithStored(
+                                                    current.config().nonces(), violations);
                                             return true;
                                         }));
-        mWorld.clock().runUntil(mWorld.clock().now() + SPREAD_NANOS);
-        return wrong;
+        mDeployment.clock().runUntil(mDeployment.clock().now() + ADOPTION_NANOS);
+        return violations;
     }
 
-    private void compare(List<String> stored, List<String> wrong) {
-        for (String nonce : mAccepted.values()) {
-            if (!stored.contains(nonce)) {
-                wrong.add(nonce + " was called accepted but is not stored");
+    private void compareWithStored(List<String> storedNonces, List<String> violations) {
+        for (String nonce : mAcceptedNonces.values()) {
+            if (!storedNonces.contains(nonce)) {
+                violations.add(nonce + " was reported as accepted but is not stored");
             }
         }
-        for (String nonce : mRefused) {
-            if (stored.contains(nonce)) {
-                wrong.add(nonce + " was called refused but is stored");
+        for (String nonce : mRefusedNonces) {
+            if (storedNonces.contains(nonce)) {
+                violations.add(nonce + " was reported as refused but is stored");
             }
         }
     }
 
-    /** Returns processes that lacked an accepted version 14 seconds later. */
+    /** Returns the processes that had not adopted an accepted version 14 s later. */
     List<String> lateProcesses() {
-        return mNotInForce;
+        return mLateProcesses;
     }
 
-    private void accepted(long version, String nonce) {
-        String other = mAccepted.putIfAbsent(version, nonce);
-        if (other != null && !other.equals(nonce)) {
-            mWrong.add("version " + version + " was given to two operators");
+    private void onAccepted(long version, String nonce) {
+        String otherNonce = mAcceptedNonces.putIfAbsent(version, nonce);
+        if (otherNonce != null && !otherNonce.equals(nonce)) {
+            mViolations.add("version " + version + " was reported as accepted to two operators");
         }
-        mWorld.clock()
+        mDeployment
+                .clock()
                 .schedule(
-                        SPREAD_NANOS,
+                        ADOPTION_NANOS,
                         () ->
-                                mWorld.processesBelowConfigVersion(version)
+                                mDeployment
+                                        .processesBelowConfigVersion(version)
                                         .forEach(
                                                 name ->
-                                                        mNotInForce.add(
-                                                                name + " lacks " + version)));
+                                                        mLateProcesses.add(
+                                                                name
+                                                                        + " lacks configuration "
+                                                                        + version)));
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/package-info.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/package-info.java
@@ -1,4 +1,6 @@
-/** The fault matrix: every fault at every step, checked against what the stand-ins saw. */
+/**
+ * The fault matrix: each fault at each injection point, checked against the logs of the stand-ins.
+ */
 @NullMarked
 package org.ebonyrun.standin.fault;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/loopback/LoopbackSettings.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/loopback/LoopbackSettings.java
@@ -8,31 +8,32 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Makes settings of daemons that listen on loopback, on ports that the system chooses, beside one
- * stand-in of the platform.
+ * Creates the settings of daemons that listen on loopback, on ports that the system chooses, and
+ * use one stand-in of the platform.
  *
  * <p>Immutable and thread safe.
  *
  * @param platform the address of the platform's services
- * @param entriesPerEndpoint how many entries each endpoint has; the same at all entries
+ * @param entriesPerEndpoint the number of entries that connect to each endpoint; the same at all
+ *     entries
  */
 public record LoopbackSettings(URI platform, int entriesPerEndpoint) {
-    /** The address on which everything listens. */
+    /** The address on which all processes listen. */
     public static final String HOST = "127.0.0.1";
 
-    private static final int BODY_BYTES = 64 * 1024;
-    private static final long HELD_BYTES = 32L << 20;
-    private static final long DRAIN_MILLIS = 20_000;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final long MAX_HELD_BYTES = 32L << 20;
+    private static final long DRAIN_TIMEOUT_MILLIS = 20_000;
 
     /** Returns the settings of an entry. */
     public DaemonSettings entry(String vm, FailureDomain domain) {
-        return settings(DaemonSettings.ROLE_ENTRY, vm, domain, null, null, false);
+        return newSettings(DaemonSettings.ROLE_ENTRY, vm, domain, null, null, false);
     }
 
     /** Returns the settings of the agent beside an endpoint. */
     public DaemonSettings agent(
             String vm, FailureDomain domain, String service, URI endpoint, boolean engine) {
-        return settings(
+        return newSettings(
                 DaemonSettings.ROLE_ENDPOINT,
                 vm,
                 domain,
@@ -41,7 +42,7 @@
                 engine);
     }
 
-    private DaemonSettings settings(
+    private DaemonSettings newSettings(
             String role,
             String vm,
             FailureDomain domain,
@@ -58,9 +59,9 @@
                 service,
                 endpoint,
                 engine,
-                BODY_BYTES,
-                HELD_BYTES,
+                MAX_BODY_BYTES,
+                MAX_HELD_BYTES,
                 entriesPerEndpoint,
-                DRAIN_MILLIS);
+                DRAIN_TIMEOUT_MILLIS);
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/loopback/package-info.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/loopback/package-info.java
@@ -1,4 +1,4 @@
-/** Settings of daemons that run beside stand-ins on loopback. */
+/** Settings of daemons that run together with stand-ins on loopback. */
 @NullMarked
 package org.ebonyrun.standin.loopback;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/KeyValueTable.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/KeyValueTable.java
@@ -11,9 +11,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The state of a key-value service: conditional writes and keys with a time to live.
+ * The state of a key-value service with conditional writes and keys with a time to live.
  *
- * <p>Thread safe: every method holds the table's monitor. Time is passed in.
+ * <p>Thread safe: every method holds the table's monitor. Callers pass the current time, in
+ * milliseconds of one clock.
  */
 public final class KeyValueTable {
     private static final long NEVER = Long.MAX_VALUE;
@@ -21,22 +22,22 @@
     private final Map<String, Stored> mEntries = new TreeMap<>();
     private long mRevision;
 
-    /** A value and when it expires, in milliseconds of the caller's clock. */
+    /** A value, its revision, and its time of expiry in milliseconds of the caller's clock. */
     private record Stored(byte[] value, long revision, long expiresAt) {}
 
     /** Creates an empty table. */
     public KeyValueTable() {}
 
-    /** Returns an entry, or null if it is absent. */
+    /** Returns an entry, or null if it is absent or has expired. */
     public synchronized @Nullable KeyValueEntry get(String key, long nowMillis) {
-        expire(nowMillis);
+        removeExpired(nowMillis);
         Stored stored = mEntries.get(key);
         return stored == null ? null : new KeyValueEntry(key, stored.value(), stored.revision());
     }
 
-    /** Returns the entries whose keys begin with a prefix. */
+    /** Returns the entries whose keys start with a prefix, sorted by key. */
     public synchronized List<KeyValueEntry> list(String prefix, long nowMillis) {
-        expire(nowMillis);
+        removeExpired(nowMillis);
         List<KeyValueEntry> found = new ArrayList<>();
         mEntries.forEach(
                 (key, stored) -> {
@@ -47,34 +48,34 @@
         return found;
     }
 
-    /** Writes a key if its revision is the expected one. */
+    /** Writes a key if it has the expected revision; otherwise returns the current revision. */
     public synchronized WriteOutcome put(
             String key, byte[] value, long expected, long ttlMillis, long nowMillis) {
-        expire(nowMillis);
+        removeExpired(nowMillis);
         if (revision(key) != expected) {
             return new WriteOutcome(false, revision(key));
         }
-        long expiresAt = expiry(ttlMillis, nowMillis);
+        long expiresAt = expiryTime(ttlMillis, nowMillis);
         mEntries.put(key, new Stored(value, ++mRevision, expiresAt));
         return new WriteOutcome(true, mRevision);
     }
 
-    /** Extends a key's time to live if its revision is the expected one. */
+    /** Renews a key's time to live if it has the expected revision; its revision stays the same. */
     public synchronized WriteOutcome renew(
             String key, long expected, long ttlMillis, long nowMillis) {
-        expire(nowMillis);
+        removeExpired(nowMillis);
         Stored stored = mEntries.get(key);
         if (stored == null || stored.revision() != expected) {
             return new WriteOutcome(false, revision(key));
         }
-        long expiresAt = expiry(ttlMillis, nowMillis);
+        long expiresAt = expiryTime(ttlMillis, nowMillis);
         mEntries.put(key, new Stored(stored.value(), expected, expiresAt));
         return new WriteOutcome(true, expected);
     }
 
-    /** Deletes a key if its revision is the expected one. */
+    /** Deletes a key if it has the expected revision; otherwise returns the current revision. */
     public synchronized WriteOutcome delete(String key, long expected, long nowMillis) {
-        expire(nowMillis);
+        removeExpired(nowMillis);
         if (revision(key) != expected) {
             return new WriteOutcome(false, revision(key));
         }
@@ -87,11 +88,11 @@
         return stored == null ? KeyValueStore.ABSENT : stored.revision();
     }
 
-    private static long expiry(long ttlMillis, long nowMillis) {
+    private static long expiryTime(long ttlMillis, long nowMillis) {
         return ttlMillis == KeyValueStore.NO_EXPIRY_MILLIS ? NEVER : nowMillis + ttlMillis;
     }
 
-    private void expire(long nowMillis) {
+    private void removeExpired(long nowMillis) {
         Iterator<Stored> entries = mEntries.values().iterator();
         while (entries.hasNext()) {
             if (entries.next().expiresAt() <= nowMillis) {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/StandinPlatform.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/StandinPlatform.java
@@ -33,7 +33,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's services on one HTTP port, with faults that can be switched on.
+ * A stand-in of the platform of a deployment with entry and agent daemons: serves the key-value
+ * service, the VM list and the weight store on one HTTP port, and injects faults on request.
+ *
+ * <p>The class of the same name in the module {@code platform} is a stand-in of another interface,
+ * the shared store.
  *
  * <p>Thread safe.
  */
@@ -48,10 +52,10 @@
     private final KeyValueTable mTable = new KeyValueTable();
     private final List<Watch> mWatches = new CopyOnWriteArrayList<>();
     private final Map<VmId, VmRecord> mVms = new ConcurrentHashMap<>();
-    private final Map<String, AtomicLong> mLatest = new ConcurrentHashMap<>();
-    private final AtomicInteger mFetches = new AtomicInteger();
-    private final AtomicLong mCalls = new AtomicLong();
-    private final AtomicInteger mAnswersToLose = new AtomicInteger();
+    private final Map<String, AtomicLong> mLatestVersions = new ConcurrentHashMap<>();
+    private final AtomicInteger mFetchesThisSecond = new AtomicInteger();
+    private final AtomicLong mCallCount = new AtomicLong();
+    private final AtomicInteger mResponsesToDrop = new AtomicInteger();
     private final ScheduledExecutorService mTimer;
     private final HttpServer mServer;
     private volatile boolean mDown;
@@ -64,7 +68,7 @@
                             thread.setDaemon(true);
                             return thread;
                         });
-        mTimer.scheduleAtFixedRate(() -> mFetches.set(0), 1, 1, TimeUnit.SECONDS);
+        mTimer.scheduleAtFixedRate(() -> mFetchesThisSecond.set(0), 1, 1, TimeUnit.SECONDS);
         mServer =
                 HttpServers.start(
                         new HttpServerSettings("platform", host, port, WORKERS),
@@ -75,16 +79,16 @@
                                 "/weights/*", handler(this::onWeights)));
     }
 
-    /** A read that waits for a newer revision. */
+    /** A pending watch request, which waits for a revision newer than {@code after}. */
     private record Watch(String key, long after, Responder out) {}
 
     /** Handles one request. */
     @FunctionalInterface
-    private interface Action {
+    private interface RequestHandler {
         void run(Request request, Responder out) throws IOException;
     }
 
-    /** Starts a platform. */
+    /** Starts a platform that listens on the given address; port zero lets the system choose. */
     public static StandinPlatform start(String host, int port) throws IOException {
         return new StandinPlatform(host, port);
     }
@@ -99,30 +103,31 @@
         mVms.put(record.vm(), record);
     }
 
-    /** Takes a VM off the list. */
+    /** Removes a VM from the list. */
     public void removeVm(VmId vm) {
         mVms.remove(vm);
     }
 
-    /** Makes the key-value service refuse every call, or answer again. */
+    /** Sets whether the key-value service refuses every call with status 503. */
     public void setDown(boolean down) {
         mDown = down;
     }
 
-    /** Makes the key-value service lose the answers to the next writes, which take effect. */
+    /** Drops the responses to the next writes to the key-value service; the writes take effect. */
     public void dropResponses(int count) {
-        mAnswersToLose.set(count);
+        mResponsesToDrop.set(count);
     }
 
     /** Publishes a version of a service's weights. */
     public void publish(String service, long version) {
-        mLatest.computeIfAbsent(service, key -> new AtomicLong())
+        mLatestVersions
+                .computeIfAbsent(service, key -> new AtomicLong())
                 .accumulateAndGet(version, Math::max);
     }
 
-    /** Returns how many calls the key-value service has had. */
+    /** Returns the number of calls that the key-value service has received. */
     public long callCount() {
-        return mCalls.get();
+        return mCallCount.get();
     }
 
     @Override
@@ -131,7 +136,7 @@
         mServer.shutdownNow();
     }
 
-    private HttpHandler handler(Action action) {
+    private HttpHandler handler(RequestHandler action) {
         return new HttpHandler() {
             @Override
             public void service(Request request, Response response) throws IOException {
@@ -140,8 +145,8 @@
         };
     }
 
-    private boolean refusesNow(Responder out) {
-        mCalls.incrementAndGet();
+    private boolean refuseIfDown(Responder out) {
+        mCallCount.incrementAndGet();
         if (mDown) {
             out.sendWhole(503, "text/plain", new byte[0]);
         }
@@ -149,18 +154,18 @@
     }
 
     private void onList(Request request, Responder out) throws IOException {
-        if (refusesNow(out)) {
+        if (refuseIfDown(out)) {
             return;
         }
         ObjectNode body = JSON.createObjectNode();
         var entries = body.putArray("entries");
         mTable.list(String.valueOf(request.getParameter("prefix")), nowMillis())
-                .forEach(entry -> entries.add(json(entry)));
+                .forEach(entry -> entries.add(toJson(entry)));
         out.sendWhole(200, JSON_TYPE, JSON.writeValueAsBytes(body));
     }
 
     private void onKey(Request request, Responder out) throws IOException {
-        if (refusesNow(out)) {
+        if (refuseIfDown(out)) {
             return;
         }
         String raw = request.getRequestURI().substring("/kv/".length());
@@ -173,13 +178,13 @@
                             MAX_VALUE_BYTES,
                             result -> result.map(body -> put(request, key, body, out)));
             case "POST" ->
-                    answer(
+                    sendOutcome(
                             mTable.renew(key, revision(request), ttlMillis(request), nowMillis()),
                             out);
             case "DELETE" -> {
                 WriteOutcome outcome = mTable.delete(key, revision(request), nowMillis());
-                wake(key);
-                answer(outcome, out);
+                notifyWatches(key);
+                sendOutcome(outcome, out);
             }
             default -> out.sendWhole(405, "text/plain", new byte[0]);
         }
@@ -210,14 +215,14 @@
         WriteOutcome outcome =
                 mTable.put(key, value, revision(request), ttlMillis(request), nowMillis());
         if (outcome.applied()) {
-            wake(key);
+            notifyWatches(key);
         }
-        answer(outcome, out);
+        sendOutcome(outcome, out);
         return true;
     }
 
-    private void answer(WriteOutcome outcome, Responder out) {
-        if (mAnswersToLose.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
+    private void sendOutcome(WriteOutcome outcome, Responder out) {
+        if (mResponsesToDrop.getAndUpdate(n -> Math.max(0, n - 1)) > 0) {
             out.abort();
             return;
         }
@@ -226,7 +231,7 @@
         out.sendWhole(outcome.applied() ? 200 : 409, JSON_TYPE, body);
     }
 
-    private void wake(String key) {
+    private void notifyWatches(String key) {
         KeyValueEntry entry = mTable.get(key, nowMillis());
         for (Watch watch : mWatches) {
             boolean newer = entry != null && entry.revision() > watch.after();
@@ -246,11 +251,12 @@
         if (entry == null) {
             out.sendWhole(404, JSON_TYPE, "{}".getBytes(StandardCharsets.UTF_8));
         } else {
-            out.sendWhole(200, JSON_TYPE, json(entry).toString().getBytes(StandardCharsets.UTF_8));
+            out.sendWhole(
+                    200, JSON_TYPE, toJson(entry).toString().getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    private static ObjectNode json(KeyValueEntry entry) {
+    private static ObjectNode toJson(KeyValueEntry entry) {
         return JSON.createObjectNode()
                 .put("key", entry.key())
                 .put("value", Base64.getEncoder().encodeToString(entry.value()))
@@ -263,13 +269,13 @@
 
     private void onWeights(Request request, Responder out) {
         String[] parts = request.getRequestURI().substring("/weights/".length()).split("/");
-        AtomicLong latest = mLatest.computeIfAbsent(parts[0], key -> new AtomicLong());
+        AtomicLong latest = mLatestVersions.computeIfAbsent(parts[0], key -> new AtomicLong());
         if (parts[1].equals("latest")) {
             out.sendWhole(200, "text/plain", latest.toString().getBytes(StandardCharsets.UTF_8));
         } else if (request.getMethod().getMethodString().equals("PUT")) {
             publish(parts[0], Long.parseLong(parts[1]));
             out.sendWhole(200, "text/plain", new byte[0]);
-        } else if (mFetches.incrementAndGet() > WEIGHT_FETCHES_PER_SECOND) {
+        } else if (mFetchesThisSecond.incrementAndGet() > WEIGHT_FETCHES_PER_SECOND) {
             out.sendWhole(429, "text/plain", new byte[0]);
         } else if (Long.parseLong(parts[1]) > latest.get()) {
             out.sendWhole(404, "text/plain", new byte[0]);
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/package-info.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/package-info.java
@@ -1,4 +1,4 @@
-/** A stand-in for the platform: key-value service, VM list and weight store over HTTP. */
+/** A stand-in of the platform: key-value service, VM list and weight store over HTTP. */
 @NullMarked
 package org.ebonyrun.standin.platform;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/ReceivedSample.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/ReceivedSample.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What a trainer's own log says of one sample that arrived.
+ * A sample that a trainer received.
  *
  * @param step the step
  * @param slot the slot
  * @param text the text
- * @param versions the versions that the sample names
- * @param trainerVersion the version that the trainer stated with the pull
- * @param scored whether a score came with it
+ * @param versions the weight versions stated with the sample
+ * @param trainerVersion the trainer's weight version at the pull
+ * @param scored whether the sample has a score
  */
 public record ReceivedSample(
         long step,
@@ -19,7 +19,7 @@
         List<Long> versions,
         long trainerVersion,
         boolean scored) {
-    /** Returns the sample's age at its arrival, in versions. */
+    /** Returns the staleness of the sample at its arrival, in versions. */
     public long age() {
         return trainerVersion - versions.stream().mapToLong(Long::longValue).min().orElse(0);
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/StandinTrainer.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/StandinTrainer.java
@@ -18,83 +18,84 @@
 import org.ebonyrun.ports.http.HttpResponse;
 
 /**
- * A trainer: submits a step, pulls its samples, trains, publishes new weights, and begins again.
+ * A trainer, which runs a loop: it submits a step, pulls its samples, trains, and publishes new
+ * weights.
  *
- * <p>Thread safe: one thread runs the trainer; its logs may be read from others.
+ * <p>Thread safe: one thread runs the trainer; any thread may read its results.
  */
 public final class StandinTrainer implements Runnable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long WAIT_MILLIS = 1_000;
+    private static final long PULL_WAIT_MILLIS = 1_000;
     private static final long TIMEOUT_MILLIS = 10_000;
     private static final long RETRY_MILLIS = 100;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final TrainerSettings mSettings;
-    private final AsyncHttpClient mCaller;
-    private final Supplier<URI> mEntry;
-    private final URI mWeights;
+    private final AsyncHttpClient mHttpClient;
+    private final Supplier<URI> mEntrySupplier;
+    private final URI mWeightStore;
     private final List<ReceivedSample> mSamples = new CopyOnWriteArrayList<>();
     private final List<Long> mIdleMillis = new CopyOnWriteArrayList<>();
     private volatile boolean mStopping;
-    private volatile long mCompleted;
-    private volatile String mLastFault = "";
+    private volatile long mCompletedSteps;
+    private volatile String mLastError = "";
     private long mVersion;
 
     private StandinTrainer(
             TrainerSettings settings,
-            AsyncHttpClient caller,
+            AsyncHttpClient httpClient,
             Supplier<URI> entry,
             URI weights,
             long version) {
         mSettings = settings;
-        mCaller = caller;
-        mEntry = entry;
-        mWeights = weights;
+        mHttpClient = httpClient;
+        mEntrySupplier = entry;
+        mWeightStore = weights;
         mVersion = version;
     }
 
     /**
      * Creates a trainer.
      *
-     * @param entry gives the entry for each request, as a balancer would
-     * @param weights the weight store
-     * @param version the version of the weights that the trainer begins with
+     * @param entry supplies the address of an entry for each request, as a load balancer does
+     * @param weights the address of the weight store
+     * @param version the weight version that the trainer starts with
      */
     public static StandinTrainer create(
             TrainerSettings settings,
-            AsyncHttpClient caller,
+            AsyncHttpClient httpClient,
             Supplier<URI> entry,
             URI weights,
             long version) {
-        return new StandinTrainer(settings, caller, entry, weights, version);
+        return new StandinTrainer(settings, httpClient, entry, weights, version);
     }
 
-    /** Returns the samples that arrived, in order. */
+    /** Returns the received samples in the order of their arrival. */
     public List<ReceivedSample> samples() {
         return List.copyOf(mSamples);
     }
 
-    /** Returns how long the trainer waited for each completed step, in milliseconds. */
+    /** Returns the time that the trainer waited for each completed step, in milliseconds. */
     public List<Long> idleMillis() {
         return List.copyOf(mIdleMillis);
     }
 
     /** Returns the number of completed steps. */
     public long completedSteps() {
-        return mCompleted;
+        return mCompletedSteps;
     }
 
-    /** Returns the newest error that the trainer met; empty if none. */
+    /** Returns the last error of a request; empty if there was none. */
     public String lastError() {
-        return mLastFault;
+        return mLastError;
     }
 
-    /** Returns how the trainer behaves. */
+    /** Returns the options of the trainer. */
     public TrainerSettings settings() {
         return mSettings;
     }
 
-    /** Lets the trainer end after the step that it is in. */
+    /** Stops the trainer after its current step. */
     public void stop() {
         mStopping = true;
     }
@@ -111,27 +112,27 @@
     }
 
     private void runStep(long step) throws InterruptedException {
-        long begin = System.nanoTime();
+        long startedAt = System.nanoTime();
         String path = "/v1/trainers/" + mSettings.trainer() + "/steps/" + step;
-        askUntilAnswered("PUT", path, submission(step));
+        sendUntilSuccess("PUT", path, encodeSubmission(step));
         String cursor = "";
         boolean complete = false;
         while (!complete) {
-            JsonNode answer = askUntilAnswered("POST", path + "/pull", pull(cursor));
-            for (JsonNode sample : answer.path("samples")) {
-                mSamples.add(received(step, sample));
+            JsonNode response = sendUntilSuccess("POST", path + "/pull", encodePull(cursor));
+            for (JsonNode sample : response.path("samples")) {
+                mSamples.add(toReceivedSample(step, sample));
             }
-            cursor = answer.path("cursor").asText();
-            complete = answer.path("complete").asBoolean();
+            cursor = response.path("cursor").asText();
+            complete = response.path("complete").asBoolean();
         }
-        mIdleMillis.add((System.nanoTime() - begin) / NANOS_PER_MILLI);
-        mCompleted++;
+        mIdleMillis.add((System.nanoTime() - startedAt) / NANOS_PER_MILLI);
+        mCompletedSteps++;
         TimeUnit.MILLISECONDS.sleep(mSettings.trainMillis());
         mVersion++;
         publish();
     }
 
-    private ReceivedSample received(long step, JsonNode sample) {
+    private ReceivedSample toReceivedSample(long step, JsonNode sample) {
         List<Long> versions = new ArrayList<>();
         sample.path("versions").forEach(version -> versions.add(version.asLong()));
         return new ReceivedSample(
@@ -144,25 +145,26 @@
     }
 
     private void publish() throws InterruptedException {
-        URI uri = URI.create(mWeights + "/weights/" + mSettings.service() + "/" + mVersion);
-        HttpRequest call = HttpRequest.of("PUT", uri, TIMEOUT_MILLIS);
-        while (!mCaller.request(call, "weights.publish").join().isOk()) {
+        URI uri = URI.create(mWeightStore + "/weights/" + mSettings.service() + "/" + mVersion);
+        HttpRequest request = HttpRequest.of("PUT", uri, TIMEOUT_MILLIS);
+        while (!mHttpClient.request(request, "weights.publish").join().isOk()) {
             TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
         }
     }
 
-    /** Repeats a request, each time at the next entry, until one answers it. */
-    private JsonNode askUntilAnswered(String method, String path, byte[] body)
+    /** Retries a request, each time at the next entry, until it succeeds. */
+    private JsonNode sendUntilSuccess(String method, String path, byte[] body)
             throws InterruptedException {
         while (true) {
-            URI uri = URI.create(mEntry.get() + path);
-            HttpRequest call = HttpRequest.json(method, uri, body, TIMEOUT_MILLIS);
-            Result<HttpResponse> result = mCaller.request(call, "trainer." + method).join();
-            HttpResponse reply = result.fold(value -> value, fault -> failed(fault.toString()));
-            if (reply.isSuccess()) {
-                return parse(reply.body());
+            URI uri = URI.create(mEntrySupplier.get() + path);
+            HttpRequest request = HttpRequest.json(method, uri, body, TIMEOUT_MILLIS);
+            Result<HttpResponse> result = mHttpClient.request(request, "trainer." + method).join();
+            HttpResponse response =
+                    result.fold(value -> value, fault -> failedResponse(fault.toString()));
+            if (response.isSuccess()) {
+                return parse(response.body());
             }
-            mLastFault = method + " " + path + ": " + reply.text();
+            mLastError = method + " " + path + ": " + response.text();
             if (Thread.interrupted()) {
                 throw new InterruptedException();
             }
@@ -170,11 +172,11 @@
         }
     }
 
-    private static HttpResponse failed(String detail) {
+    private static HttpResponse failedResponse(String detail) {
         return new HttpResponse(0, detail.getBytes(StandardCharsets.UTF_8));
     }
 
-    private byte[] submission(long step) {
+    private byte[] encodeSubmission(long step) {
         ObjectNode body = JSON.createObjectNode();
         body.put("class", mSettings.className());
         body.put("version", mVersion);
@@ -189,11 +191,11 @@
         return body.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private byte[] pull(String cursor) {
+    private byte[] encodePull(String cursor) {
         ObjectNode body = JSON.createObjectNode();
         body.put("cursor", cursor);
         body.put("version", mVersion);
-        body.put("wait_ms", WAIT_MILLIS);
+        body.put("wait_ms", PULL_WAIT_MILLIS);
         return body.toString().getBytes(StandardCharsets.UTF_8);
     }
 
@@ -201,7 +203,7 @@
         try {
             return JSON.readTree(body);
         } catch (IOException e) {
-            throw new IllegalStateException("answer is not JSON: " + e.getMessage(), e);
+            throw new IllegalStateException("response is not JSON: " + e.getMessage(), e);
         }
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/TrainerSettings.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/TrainerSettings.java
@@ -1,15 +1,15 @@
 package org.ebonyrun.standin.trainer;
 
 /**
- * How a trainer behaves.
+ * The options of a trainer.
  *
- * @param trainer its name
+ * @param trainer the ID of the trainer
  * @param className the class of its steps
  * @param service the service whose weights it trains
- * @param groups prompts in a step
- * @param samplesPerGroup samples of each prompt
- * @param maxTokens tokens of each sample
- * @param trainMillis time that it trains on a step, in milliseconds
+ * @param groups number of prompts in a step
+ * @param samplesPerGroup number of samples of each prompt
+ * @param maxTokens number of tokens of each sample
+ * @param trainMillis training time per step, in milliseconds
  */
 public record TrainerSettings(
         String trainer,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/package-info.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/package-info.java
@@ -1,4 +1,4 @@
-/** A stand-in for a trainer. */
+/** A stand-in of a trainer. */
 @NullMarked
 package org.ebonyrun.standin.trainer;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/CallOutcome.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/CallOutcome.java
@@ -4,11 +4,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a caller saw of its call.
+ * The outcome of a call as its caller saw it.
  *
- * @param text the answer; null if there is none
- * @param tokens tokens that the answer says it has
- * @param fault why there is no answer; null if the connection was lost, or there is an answer
+ * @param text the response text; null if there is none
+ * @param tokens the token count stated in the response
+ * @param fault the reported fault; null if the call was answered or the connection was lost
  */
 public record CallOutcome(@Nullable String text, int tokens, @Nullable Fault fault) {
     static CallOutcome answered(String text, int tokens) {
@@ -23,7 +23,7 @@
         return new CallOutcome(null, 0, null);
     }
 
-    /** Returns whether the caller was told that its call did not run. */
+    /** Returns whether the call was reported as not run. */
     public boolean isNotRun() {
         return fault != null && fault.isNotRun();
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/EngineModel.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/EngineModel.java
@@ -1,17 +1,18 @@
 package org.ebonyrun.standin.virtual;
 
 /**
- * How a virtual endpoint behaves.
+ * Performance model and options of a virtual endpoint.
  *
  * @param plain whether it is a plain service, which has no weights
- * @param slots how many runs it serves at once
- * @param tokenMicros time to the next token with one run, in microseconds
- * @param batchSlowdown how much slower a token is with all slots in use: 1 doubles its time
- * @param prefillMicros time for a prompt token that is not cached, in microseconds
- * @param cachedPrompts how many prompts the prefix cache holds
- * @param tokensPerPiece tokens in each piece of a stream
- * @param swapMillis how long loading a version takes, in milliseconds
- * @param checksFence whether orders with an old fence are refused
+ * @param slots the number of runs it serves at once
+ * @param tokenMicros time per token with a single run, in microseconds
+ * @param batchSlowdown relative increase of the time per token when all slots are in use; 1 doubles
+ *     it
+ * @param prefillMicros prefill time per prompt token that is not cached, in microseconds
+ * @param cachedPrompts capacity of the prefix cache, in prompts
+ * @param tokensPerPiece tokens per piece of a stream
+ * @param swapMillis time to load a version, in milliseconds
+ * @param checksFence whether orders with an old fence are rejected
  */
 public record EngineModel(
         boolean plain,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/FaultKind.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/FaultKind.java
@@ -1,43 +1,46 @@
 package org.ebonyrun.standin.virtual;
 
-/** What can go wrong at a step. */
+/** The kinds of faults that can be injected. */
 public enum FaultKind {
-    /** The entry dies before the act and restarts two seconds later. */
+    /** The entry crashes before the action and restarts two seconds later. */
     ENTRY_CRASH_BEFORE,
-    /** The entry dies right after the act. */
+    /** The entry crashes right after the action and restarts two seconds later. */
     ENTRY_CRASH_AFTER,
-    /** The agent dies before the act and restarts two seconds later; its endpoint lives on. */
+    /**
+     * The agent crashes before the action and restarts two seconds later; its endpoint keeps
+     * running.
+     */
     AGENT_CRASH_BEFORE,
-    /** The agent dies right after the act. */
+    /** The agent crashes right after the action and restarts two seconds later. */
     AGENT_CRASH_AFTER,
-    /** The endpoint dies and restarts two seconds later. */
+    /** The endpoint crashes and restarts two seconds later. */
     ENDPOINT_CRASH,
-    /** The message and its link are lost. */
+    /** The message is lost, and its link is closed. */
     LINK_CUT,
-    /** The act happens, and the link is lost before anything follows. */
+    /** The action takes effect; right after it the link is closed or the response is lost. */
     ANSWER_LOST,
-    /** The act happens three seconds late. */
+    /** The action takes place three seconds late. */
     DELAY,
     /** The message arrives twice. */
     DUPLICATE,
-    /** The message arrives after the ones that follow it. */
+    /** The message arrives after later messages. */
     REORDER,
-    /** The next streams of the endpoint end without their end mark. */
+    /** The next two streams of the endpoint end without an end marker. */
     TRUNCATED_STREAM,
-    /** The key-value service is away for eight seconds. */
+    /** The key-value service is unavailable for eight seconds. */
     STORE_DOWN,
     /** The key-value service takes 1.5 s for each call, for eight seconds. */
     STORE_SLOW,
-    /** The answers to the next two writes are lost; the writes take effect. */
+    /** The responses to the next two writes are lost; the writes take effect. */
     STORE_ANSWER_LOST,
-    /** The entry stands still for ten seconds, longer than its leases live. */
+    /** The entry is paused for ten seconds, longer than the time to live of its leases. */
     ENTRY_PAUSE,
-    /** The agent stands still for ten seconds. */
+    /** The agent is paused for ten seconds. */
     AGENT_PAUSE,
-    /** Endpoints obey old fences, while the entry stands still for ten seconds. */
+    /** The entry is paused for ten seconds, and endpoints accept orders with an old fence. */
     FENCE_IGNORED,
-    /** The next two loads of the endpoint fail partway. */
+    /** The next two weight loads of the endpoint fail before they complete. */
     SWAP_FAILS,
-    /** The list of VMs stands still for twenty seconds, while the agent dies. */
+    /** The agent crashes, and the VM list is not updated for twenty seconds. */
     VM_LIST_STALE
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/FaultPlan.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/FaultPlan.java
@@ -5,22 +5,26 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Which fault strikes at which occurrence of which step. Not thread safe; counts occurrences. */
+/**
+ * The faults to inject, each at one occurrence of an injection point. Counts occurrences.
+ *
+ * <p>Not thread safe.
+ */
 public final class FaultPlan {
-    private final List<PlannedFault> mStrikes;
-    private final Map<InjectionPoint, Integer> mSeen = new EnumMap<>(InjectionPoint.class);
-    private int mStruck;
+    private final List<PlannedFault> mFaults;
+    private final Map<InjectionPoint, Integer> mOccurrences = new EnumMap<>(InjectionPoint.class);
+    private int mInjectedCount;
 
-    private FaultPlan(List<PlannedFault> strikes) {
-        mStrikes = List.copyOf(strikes);
+    private FaultPlan(List<PlannedFault> faults) {
+        mFaults = List.copyOf(faults);
     }
 
     /**
-     * One fault.
+     * One fault to inject.
      *
-     * @param step the step
-     * @param occurrence at which occurrence of the step, from zero
-     * @param kind what goes wrong
+     * @param injectionPoint the injection point
+     * @param occurrence the occurrence of the injection point, counted from zero
+     * @param kind the kind of fault
      */
     public record PlannedFault(InjectionPoint injectionPoint, int occurrence, FaultKind kind) {}
 
@@ -30,29 +34,29 @@
     }
 
     /** Returns a plan with the given faults. */
-    public static FaultPlan of(List<PlannedFault> strikes) {
-        return new FaultPlan(strikes);
+    public static FaultPlan of(List<PlannedFault> faults) {
+        return new FaultPlan(faults);
     }
 
-    /** Counts an occurrence of a step and returns the fault that strikes it. */
-    Optional<FaultKind> recordOccurrence(InjectionPoint step) {
-        int occurrence = mSeen.merge(step, 1, Integer::sum) - 1;
-        for (PlannedFault strike : mStrikes) {
-            if (strike.injectionPoint() == step && strike.occurrence() == occurrence) {
-                mStruck++;
-                return Optional.of(strike.kind());
+    /** Counts an occurrence of an injection point and returns the fault planned for it. */
+    Optional<FaultKind> recordOccurrence(InjectionPoint point) {
+        int occurrence = mOccurrences.merge(point, 1, Integer::sum) - 1;
+        for (PlannedFault fault : mFaults) {
+            if (fault.injectionPoint() == point && fault.occurrence() == occurrence) {
+                mInjectedCount++;
+                return Optional.of(fault.kind());
             }
         }
         return Optional.empty();
     }
 
-    /** Returns how many faults have struck. */
+    /** Returns the number of faults injected so far. */
     public int injectedCount() {
-        return mStruck;
+        return mInjectedCount;
     }
 
-    /** Returns how often a step has occurred. */
-    public int occurrences(InjectionPoint step) {
-        return mSeen.getOrDefault(step, 0);
+    /** Returns the number of occurrences of an injection point so far. */
+    public int occurrences(InjectionPoint point) {
+        return mOccurrences.getOrDefault(point, 0);
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/Participants.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/Participants.java
@@ -3,12 +3,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Who takes part in an act.
+ * The participants in an action, at which a fault can be injected.
  *
  * @param entry the entry, if any
  * @param agent the agent, if any
  * @param link the link that carries the message, if any
- * @param lose loses a client's request or answer, if it is one
+ * @param dropClientMessage drops the client's request or its response, if the action is one of them
  */
 record Participants(
         @Nullable VirtualEntry entry,
@@ -27,7 +27,7 @@
         return new Participants(null, agent, null, null);
     }
 
-    static Participants ofClient(VirtualEntry entry, Runnable lose) {
-        return new Participants(entry, null, null, lose);
+    static Participants ofClient(VirtualEntry entry, Runnable dropMessage) {
+        return new Participants(entry, null, null, dropMessage);
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/PolicySet.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/PolicySet.java
@@ -8,12 +8,12 @@
 import org.ebonyrun.core.routing.LeastLoadChooser;
 
 /**
- * The policies that a world runs with.
+ * The policies that a virtual deployment runs with.
  *
  * @param name the name in reports
- * @param attempts the decisions of agents
- * @param chooser makes the choice of endpoint for an entry in a failure domain
- * @param stragglers when a slow sample is run a second time
+ * @param attempts queue order, sample admission and early refusal at agents
+ * @param chooser creates the endpoint chooser for an entry in a failure domain
+ * @param stragglers when a hedged attempt of a slow sample is started
  */
 public record PolicySet(
         String name,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualAgent.java
@@ -31,11 +31,11 @@
 import org.ebonyrun.daemon.store.FenceStore;
 import org.jspecify.annotations.Nullable;
 
-/** An agent's decision code beside a virtual endpoint. Not thread safe. */
+/** An agent's state machines beside a virtual endpoint. Not thread safe. */
 public final class VirtualAgent extends VirtualProcess {
-    private static final long TICK_NANOS = Nanos.ofMillis(50);
-    private static final long HEARTBEAT_NANOS = Nanos.ofMillis(250);
-    private static final long STATE_NANOS = Nanos.ofMillis(500);
+    private static final long TICK_PERIOD_NANOS = Nanos.ofMillis(50);
+    private static final long HEARTBEAT_PERIOD_NANOS = Nanos.ofMillis(250);
+    private static final long STATE_PERIOD_NANOS = Nanos.ofMillis(500);
 
     final VmId mVm;
     final ServiceName mService;
@@ -48,16 +48,16 @@
     private ConfigMachine mConfig;
     private long mConfigVersion;
     private boolean mReverted;
-    private long mDrainedAt = Long.MAX_VALUE;
+    private long mDrainStartedAt = Long.MAX_VALUE;
     private long mStartsAfterDrain;
 
     VirtualAgent(
-            VirtualDeployment world,
+            VirtualDeployment deployment,
             VmId vm,
             ServiceName service,
             FailureDomain domain,
             VirtualEngine engine) {
-        super(world);
+        super(deployment);
         mVm = vm;
         mService = service;
         mDomain = domain;
@@ -69,7 +69,7 @@
         return mVm;
     }
 
-    /** Returns the endpoint. */
+    /** Returns the endpoint beside the agent. */
     public VirtualEngine engine() {
         return mEngine;
     }
@@ -83,32 +83,32 @@
     }
 
     boolean isDraining() {
-        return mDrainedAt != Long.MAX_VALUE;
+        return mDrainStartedAt != Long.MAX_VALUE;
     }
 
-    /** Returns how many jobs were started more than five seconds after the drain began. */
+    /** Returns the number of jobs started more than five seconds after the drain began. */
     long startsAfterDrain() {
         return mStartsAfterDrain;
     }
 
     @Override
     void onStart() {
-        mEngine.setListener(new Events());
+        mEngine.setListener(new EndpointEvents());
         AttemptLimits limits =
                 new AttemptLimits(
                         0, AttemptLimits.DEFAULT_MAX_QUEUED, AttemptLimits.DEFAULT_MAX_HELD_BYTES);
         mAttempts =
                 AttemptMachine.create(
-                        mVm, limits, mDeployment.mPolicies.attempts(), new Attempts());
-        mSwap = SwapMachine.create(mVm, new Swaps());
-        mConfig = ConfigMachine.create(new Configs());
+                        mVm, limits, mDeployment.mPolicies.attempts(), new AttemptHandler());
+        mSwap = SwapMachine.create(mVm, new SwapHandler());
+        mConfig = ConfigMachine.create(new ConfigHandler());
         mConfigVersion = 0;
         mHeartbeats = new HeartbeatPolicy();
         mEngine.reportState();
-        learnFloor();
-        scheduleEvery(TICK_NANOS, () -> mAttempts.onTick(now()));
-        scheduleEvery(HEARTBEAT_NANOS, this::heartbeat);
-        scheduleEvery(STATE_NANOS, mEngine::reportState);
+        readFenceFloor();
+        scheduleEvery(TICK_PERIOD_NANOS, () -> mAttempts.onTick(now()));
+        scheduleEvery(HEARTBEAT_PERIOD_NANOS, this::sendHeartbeat);
+        scheduleEvery(STATE_PERIOD_NANOS, mEngine::reportState);
     }
 
     @Override
@@ -118,16 +118,16 @@
         mLinks.clear();
     }
 
-    /** Begins a graceful shutdown; the agent ends when it is idle. */
+    /** Begins a graceful shutdown; the agent stops when it is idle. */
     void drain() {
         mDeployment.performWithFault(
                 InjectionPoint.AGENT_DRAIN,
                 Participants.ofAgent(this),
                 () -> {
-                    mDrainedAt = mClock.now();
+                    mDrainStartedAt = mClock.now();
                     mAttempts.onDrain();
-                    heartbeat();
-                    endWhenIdle();
+                    sendHeartbeat();
+                    stopWhenIdle();
                 });
     }
 
@@ -147,8 +147,8 @@
             mAttempts.onMessage(number, attempt, now());
         } else if (message instanceof ConfigMessage config) {
             mConfig.onMessage(number, config);
-        } else if (message instanceof MembershipMessage.Heartbeat beat) {
-            mConfig.onPeerVersion(number, beat.configVersion());
+        } else if (message instanceof MembershipMessage.Heartbeat heartbeat) {
+            mConfig.onPeerVersion(number, heartbeat.configVersion());
         } else if (message instanceof WeightMessage.LoadOrder order) {
             mSwap.onOrder(number, order);
         }
@@ -158,29 +158,29 @@
         return mClock.now();
     }
 
-    private void endWhenIdle() {
+    private void stopWhenIdle() {
         schedule(
-                TICK_NANOS,
+                TICK_PERIOD_NANOS,
                 () -> {
                     if (mAttempts.isIdle()) {
                         mDeployment.removeFromVmList(this);
                         stop();
                     } else {
-                        endWhenIdle();
+                        stopWhenIdle();
                     }
                 });
     }
 
-    private void heartbeat() {
+    private void sendHeartbeat() {
         EndpointLoad load = mAttempts.load(now());
         if (mHeartbeats.markSentIfDue(load, now())) {
-            Message beat = new MembershipMessage.Heartbeat(mConfigVersion, load);
-            mLinks.values().forEach(link -> link.sendToEntry(beat));
+            Message heartbeat = new MembershipMessage.Heartbeat(mConfigVersion, load);
+            mLinks.values().forEach(link -> link.sendToEntry(heartbeat));
         }
     }
 
-    private void learnFloor() {
-        Runnable again = guarded(() -> schedule(STATE_NANOS, this::learnFloor));
+    private void readFenceFloor() {
+        Runnable retry = guarded(() -> schedule(STATE_PERIOD_NANOS, this::readFenceFloor));
         SwapMachine swap = mSwap;
         FenceStore.create(mDeployment.mStore)
                 .read(WeightPlanner.leaseKey(mService))
@@ -192,7 +192,7 @@
                                             return true;
                                         },
                                         fault -> {
-                                            again.run();
+                                            retry.run();
                                             return false;
                                         }));
     }
@@ -204,8 +204,8 @@
         }
     }
 
-    /** Hands what the endpoint does to the machines, unless the agent has died since. */
-    private final class Events implements EndpointListener {
+    /** Passes the endpoint's events to the state machines, unless the agent is not alive. */
+    private final class EndpointEvents implements EndpointListener {
         @Override
         public void onPiece(AttemptId id, byte[] data, int tokens, long version) {
             run(() -> mAttempts.onPiece(id, data, tokens, version, now()));
@@ -241,8 +241,8 @@
         }
     }
 
-    /** Carries out what the attempt duty decides. */
-    private final class Attempts implements AttemptOutputs {
+    /** Performs the outputs of the attempt machine. */
+    private final class AttemptHandler implements AttemptOutputs {
         @Override
         public void send(long link, AttemptMessage message) {
             VirtualAgent.this.send(link, message);
@@ -250,7 +250,7 @@
 
         @Override
         public void start(AttemptId id, Job job) {
-            if (now() - mDrainedAt > Nanos.ofMillis(5_000)) {
+            if (now() - mDrainStartedAt > Nanos.ofMillis(5_000)) {
                 mStartsAfterDrain++;
             }
             VirtualRequest request = VirtualRequest.decode(job.body());
@@ -266,8 +266,8 @@
         }
     }
 
-    /** Carries out what the weight duty decides. */
-    private final class Swaps implements SwapOutputs {
+    /** Performs the outputs of the swap machine. */
+    private final class SwapHandler implements SwapOutputs {
         @Override
         public void send(long link, WeightMessage message) {
             VirtualAgent.this.send(link, message);
@@ -287,8 +287,8 @@
         }
     }
 
-    /** Carries out what the configuration duty decides. */
-    private final class Configs implements ConfigOutputs {
+    /** Performs the outputs of the configuration machine. */
+    private final class ConfigHandler implements ConfigOutputs {
         @Override
         public void send(long link, ConfigMessage message) {
             VirtualAgent.this.send(link, message);
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualCall.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualCall.java
@@ -4,12 +4,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call of a caller.
+ * A call that a virtual caller sends.
  *
  * @param className its class
- * @param request its body
+ * @param request its request body
  * @param idempotent whether it may run more than once
- * @param key the key under which it runs at most once; null for none
+ * @param idempotencyKey the idempotency key under which it runs at most once; null for none
  */
 public record VirtualCall(
         ClassName className,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualClock.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualClock.java
@@ -4,43 +4,43 @@
 import java.util.PriorityQueue;
 
 /**
- * A clock and its queue of tasks. Tasks of the same time run in the order in which they were
- * scheduled, so a run is a function of its seed.
+ * A virtual clock with a queue of scheduled tasks. Tasks with the same due time run in the order in
+ * which they were scheduled, so that a run is a function of its seed.
  *
- * <p>Not thread safe; one thread runs a whole world.
+ * <p>Not thread safe; one thread runs a whole deployment.
  */
 public final class VirtualClock {
     private final PriorityQueue<Task> mTasks =
             new PriorityQueue<>(
                     Comparator.comparingLong(Task::at).thenComparingLong(Task::sequence));
     private long mNow;
-    private long mSequence;
+    private long mNextSequence;
 
-    /** A task and when it is due. */
+    /** A task, its due time in nanoseconds, and its number in scheduling order. */
     private record Task(long at, long sequence, Runnable action) {}
 
-    /** Creates a clock that stands at one second. */
+    /** Creates a clock whose time is one second. */
     public VirtualClock() {
         mNow = 1_000_000_000L;
     }
 
-    /** Returns the time in nanoseconds. */
+    /** Returns the current time in nanoseconds. */
     public long now() {
         return mNow;
     }
 
-    /** Runs an action after a delay in nanoseconds. */
+    /** Schedules an action to run after a delay in nanoseconds; a negative delay counts as zero. */
     public void schedule(long nanos, Runnable action) {
-        mTasks.add(new Task(mNow + Math.max(0, nanos), mSequence++, action));
+        mTasks.add(new Task(mNow + Math.max(0, nanos), mNextSequence++, action));
     }
 
-    /** Runs an action now and then once a period, in nanoseconds, for ever. */
+    /** Runs an action now, and then again after each period, in nanoseconds. */
     public void scheduleEvery(long nanos, Runnable action) {
         action.run();
         schedule(nanos, () -> scheduleEvery(nanos, action));
     }
 
-    /** Runs all tasks that are due until a time, and stands there. */
+    /** Runs all tasks that are due by the given time, and sets the clock to it. */
     public void runUntil(long time) {
         while (!mTasks.isEmpty() && mTasks.peek().at() <= time) {
             Task task = mTasks.poll();
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualConfigOutputHandler.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualConfigOutputHandler.java
@@ -8,7 +8,7 @@
 import org.ebonyrun.core.config.ServiceKind;
 import org.ebonyrun.core.config.ServiceSpec;
 
-/** Carries out what a virtual entry's configuration duty decides. Not thread safe. */
+/** Performs the outputs of a virtual entry's configuration machine. Not thread safe. */
 final class VirtualConfigOutputHandler implements ConfigOutputs {
     private final VirtualEntry mEntry;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDeployment.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDeployment.java
@@ -21,7 +21,8 @@
 import org.ebonyrun.daemon.store.StoredConfig;
 
 /**
- * Entries, agents and endpoints of one deployment in virtual time, with the faults of a plan.
+ * The entries, agents and endpoints of one deployment in virtual time. Injects the faults of a
+ * plan.
  *
  * <p>Not thread safe.
  */
@@ -30,43 +31,43 @@
     private static final long DELAY_NANOS = Nanos.ofMillis(3_000);
     private static final long OUTAGE_NANOS = Nanos.ofMillis(8_000);
     private static final long PAUSE_NANOS = Nanos.ofMillis(10_000);
-    private static final long STALE_NANOS = Nanos.ofMillis(20_000);
+    private static final long STALE_VM_LIST_NANOS = Nanos.ofMillis(20_000);
     private static final long RESTART_NANOS = Nanos.ofMillis(2_000);
-    private static final int FAULTY_ACTS = 2;
+    private static final int FAULTY_ACTIONS = 2;
     private static final int LINK_PORT = 7_100;
 
     final VirtualClock mClock = new VirtualClock();
     final VirtualStore mStore = new VirtualStore(mClock);
     final Random mRandom;
-    final FaultPlan mFaults;
+    final FaultPlan mFaultPlan;
     final PolicySet mPolicies;
     private final List<VirtualEntry> mEntries = new ArrayList<>();
     private final List<VirtualAgent> mAgents = new ArrayList<>();
     private final Set<VirtualProcess> mRemoved = new HashSet<>();
-    private final Map<ServiceName, Long> mLatest = new HashMap<>();
-    private List<Peer> mFrozenList = List.of();
-    private long mFrozenUntil;
-    private long mLinks;
+    private final Map<ServiceName, Long> mLatestVersions = new HashMap<>();
+    private List<Peer> mFrozenVmList = List.of();
+    private long mVmListFrozenUntil;
+    private long mLastLinkId;
 
-    private VirtualDeployment(long seed, FaultPlan faults, PolicySet policy) {
+    private VirtualDeployment(long seed, FaultPlan faultPlan, PolicySet policies) {
         mRandom = new Random(seed);
-        mFaults = faults;
-        mPolicies = policy;
+        mFaultPlan = faultPlan;
+        mPolicies = policies;
     }
 
-    /** Creates a world without processes. */
-    public static VirtualDeployment create(long seed, FaultPlan faults, PolicySet policy) {
-        return new VirtualDeployment(seed, faults, policy);
+    /** Creates a deployment without processes. */
+    public static VirtualDeployment create(long seed, FaultPlan faultPlan, PolicySet policies) {
+        return new VirtualDeployment(seed, faultPlan, policies);
     }
 
-    /** Adds an entry; it starts with {@link #start}. */
+    /** Adds an entry; {@link #start} starts it. */
     public VirtualEntry addEntry(String vm, String domain) {
         VirtualEntry entry = new VirtualEntry(this, VmId.of(vm), FailureDomain.of(domain));
         mEntries.add(entry);
         return entry;
     }
 
-    /** Adds an agent and its endpoint; it starts with {@link #start}. */
+    /** Adds an agent and its endpoint; {@link #start} starts the agent. */
     public VirtualAgent addAgent(String vm, String domain, String service, EngineModel model) {
         VirtualEngine engine = new VirtualEngine(mClock, vm, model, model.plain() ? 0 : 1);
         VirtualAgent agent =
@@ -77,7 +78,7 @@
                         FailureDomain.of(domain),
                         engine);
         mAgents.add(agent);
-        mLatest.putIfAbsent(agent.mService, 1L);
+        mLatestVersions.putIfAbsent(agent.mService, 1L);
         return agent;
     }
 
@@ -87,46 +88,51 @@
         mEntries.forEach(VirtualProcess::start);
     }
 
-    /** Returns the clock. */
+    /** Returns the clock that schedules all processes of the deployment. */
     public VirtualClock clock() {
         return mClock;
     }
 
-    /** Returns the key-value service. */
+    /** Returns the key-value service of the deployment. */
     public VirtualStore store() {
         return mStore;
     }
 
-    /** Returns the entries, dead ones included. */
+    /** Returns all entries, including stopped ones. */
     public List<VirtualEntry> entries() {
         return mEntries;
     }
 
-    /** Returns the agents, dead ones included. */
+    /** Returns all agents, including stopped ones. */
     public List<VirtualAgent> agents() {
         return mAgents;
     }
 
-    /** Returns the newest version in the weight store. */
+    /** Returns the newest version of a service's weights in the weight store. */
     public long latestVersion(ServiceName service) {
-        return mLatest.getOrDefault(service, 0L);
+        return mLatestVersions.getOrDefault(service, 0L);
     }
 
     /** Publishes a version of a service's weights. */
     public void publish(ServiceName service, long version) {
-        mLatest.merge(service, version, Math::max);
+        mLatestVersions.merge(service, version, Math::max);
     }
 
-    /** Returns an entry that the balancer takes for live, or empty if there is none. */
+    /**
+     * Returns an entry that accepts requests, as a load balancer in front of the entries chooses
+     * it, or empty if there is none.
+     *
+     * @param turn selects among the entries, round robin
+     */
     public Optional<VirtualEntry> selectEntry(int turn) {
-        List<VirtualEntry> live =
+        List<VirtualEntry> available =
                 mEntries.stream().filter(e -> e.isAlive() && !e.isDraining()).toList();
-        return live.isEmpty()
+        return available.isEmpty()
                 ? Optional.empty()
-                : Optional.of(live.get(Math.floorMod(turn, live.size())));
+                : Optional.of(available.get(Math.floorMod(turn, available.size())));
     }
 
-    /** Takes a whole failure domain away, for good. */
+    /** Stops all agents, endpoints and entries of a failure domain permanently. */
     public void failDomain(String domain) {
         for (VirtualAgent agent : List.copyOf(mAgents)) {
             if (agent.mDomain.value().equals(domain) && agent.isAlive()) {
@@ -154,12 +160,12 @@
         agent.mEngine.setSlowFactor(factor);
     }
 
-    /** Lets the key-value service be away for a while. */
+    /** Makes the key-value service unavailable for the given time. */
     public void startStoreOutage(long nanos) {
         mStore.setDownUntil(mClock.now() + nanos);
     }
 
-    /** Sends a call to the entry that the balancer chooses. The sink is called once. */
+    /** Sends a call to the entry that the load balancer selects. The sink is called once. */
     public void sendCall(int turn, VirtualCall call, Consumer<CallOutcome> sink) {
         VirtualEntry entry = selectEntry(turn).orElse(null);
         if (entry == null) {
@@ -177,7 +183,7 @@
                 });
     }
 
-    /** Applies a configuration at the entry that the balancer chooses, on top of what it has. */
+    /** Applies a configuration at a selected entry, on top of the version adopted there. */
     public void applyConfig(
             int turn, String text, String nonce, Consumer<Result<StoredConfig>> sink) {
         selectEntry(turn)
@@ -196,7 +202,7 @@
         entry.run(entry::drain);
     }
 
-    /** Returns the live processes whose configuration is below a version. */
+    /** Returns the names of live processes whose configuration version is below the given one. */
     public List<String> processesBelowConfigVersion(long version) {
         List<String> names = new ArrayList<>();
         for (VirtualEntry entry : mEntries) {
@@ -212,28 +218,35 @@
         return names;
     }
 
-    /** Returns what processes did that breaks a promise, by what they recorded of themselves. */
+    /**
+     * Returns the violations of guarantees that processes recorded themselves. Each text starts
+     * with the number of the guarantee, or with "fence".
+     */
     public List<String> findProcessViolations(long acceptedConfig) {
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         processesBelowConfigVersion(acceptedConfig)
-                .forEach(name -> broken.add("9 " + name + " lacks version " + acceptedConfig));
+                .forEach(
+                        name ->
+                                violations.add(
+                                        "9 " + name + " lacks configuration " + acceptedConfig));
         for (VirtualEntry entry : mEntries) {
             if (entry.hasRevertedConfig()) {
-                broken.add("9 " + entry.vm() + " went back");
+                violations.add("9 " + entry.vm() + " reverted to an older configuration");
             }
         }
         for (VirtualAgent agent : mAgents) {
             if (agent.hasRevertedConfig()) {
-                broken.add("9 " + agent.vm() + " went back");
+                violations.add("9 " + agent.vm() + " reverted to an older configuration");
             }
             if (agent.startsAfterDrain() > 0) {
-                broken.add("7 " + agent.vm() + " got new work while leaving");
+                violations.add(
+                        "7 " + agent.vm() + " started work more than 5 s after its drain began");
             }
             if (agent.engine().acceptedStaleOrders() > 0) {
-                broken.add("fence: " + agent.vm() + " obeyed an old order");
+                violations.add("fence: " + agent.vm() + " accepted an order with an old fence");
             }
         }
-        return broken;
+        return violations;
     }
 
     void removeFromVmList(VirtualProcess process) {
@@ -241,8 +254,8 @@
     }
 
     List<Peer> vmList() {
-        if (mClock.now() < mFrozenUntil) {
-            return mFrozenList;
+        if (mClock.now() < mVmListFrozenUntil) {
+            return mFrozenVmList;
         }
         List<Peer> peers = new ArrayList<>();
         for (VirtualAgent agent : mAgents) {
@@ -274,158 +287,159 @@
                         entry.mMembership.onDisconnected(peer.vm(), mClock.now());
                         return;
                     }
-                    VirtualLink link = new VirtualLink(this, ++mLinks, entry, agent);
+                    VirtualLink link = new VirtualLink(this, ++mLastLinkId, entry, agent);
                     entry.onLinkOpened(link);
                     agent.run(() -> agent.onLinkOpened(link));
                 });
     }
 
-    /** Passes a request on to the entry that holds a lease. */
+    /** Forwards a request to the entry that holds a lease. */
     void forward(
             VirtualEntry from,
             LeaseHolder owner,
             StepRequest request,
             Consumer<StepReply> sink,
-            Runnable unreachable) {
+            Runnable onUnreachable) {
         VirtualEntry to =
                 mEntries.stream()
                         .filter(entry -> entry.mVm.equals(owner.vm()))
                         .findFirst()
                         .orElse(null);
-        boolean same = to != null && to.isAlive() && to.mIdentity.isSameProcess(owner);
-        Runnable lost = from.guarded(unreachable);
-        if (!same) {
+        boolean isOwner = to != null && to.isAlive() && to.mIdentity.isSameProcess(owner);
+        Runnable lost = from.guarded(onUnreachable);
+        if (!isOwner) {
             mClock.schedule(LATENCY_NANOS, lost);
             return;
         }
-        Consumer<StepReply> back =
+        Consumer<StepReply> replyHandler =
                 reply -> mClock.schedule(LATENCY_NANOS, from.guarded(() -> sink.accept(reply)));
-        mClock.schedule(LATENCY_NANOS, () -> to.handleStepRequest(request, true, back, lost));
+        mClock.schedule(
+                LATENCY_NANOS, () -> to.handleStepRequest(request, true, replyHandler, lost));
     }
 
-    /** Performs an act, and the fault that the plan has for it. */
-    void performWithFault(InjectionPoint step, Participants parties, Runnable act) {
-        Optional<FaultKind> fault = mFaults.recordOccurrence(step);
+    /** Performs an action, and injects the fault that the plan has for it. */
+    void performWithFault(InjectionPoint point, Participants participants, Runnable action) {
+        Optional<FaultKind> fault = mFaultPlan.recordOccurrence(point);
         if (fault.isEmpty()) {
-            act.run();
+            action.run();
             return;
         }
         switch (fault.get()) {
             case ENTRY_CRASH_BEFORE, ENTRY_CRASH_AFTER, ENTRY_PAUSE, FENCE_IGNORED ->
-                    strikeEntry(fault.get(), parties, act);
+                    injectEntryFault(fault.get(), participants, action);
             case LINK_CUT, ANSWER_LOST, DELAY, DUPLICATE, REORDER ->
-                    strikeMessage(fault.get(), parties, act);
-            case STORE_DOWN, STORE_SLOW, STORE_ANSWER_LOST -> strikeStore(fault.get(), act);
-            default -> strikeAgent(fault.get(), parties, act);
+                    injectMessageFault(fault.get(), participants, action);
+            case STORE_DOWN, STORE_SLOW, STORE_ANSWER_LOST -> injectStoreFault(fault.get(), action);
+            default -> injectAgentFault(fault.get(), participants, action);
         }
     }
 
-    private void strikeEntry(FaultKind kind, Participants parties, Runnable act) {
-        VirtualEntry entry = parties.entry();
+    private void injectEntryFault(FaultKind kind, Participants participants, Runnable action) {
+        VirtualEntry entry = participants.entry();
         if (entry == null) {
-            act.run();
+            action.run();
             return;
         }
         switch (kind) {
             case ENTRY_CRASH_BEFORE -> entry.crash();
             case ENTRY_CRASH_AFTER -> {
-                act.run();
+                action.run();
                 entry.crash();
             }
             case FENCE_IGNORED -> {
                 mAgents.forEach(agent -> agent.mEngine.ignoreFences());
                 entry.pause(PAUSE_NANOS);
-                entry.run(act);
+                entry.run(action);
             }
             default -> {
                 entry.pause(PAUSE_NANOS);
-                entry.run(act);
+                entry.run(action);
             }
         }
     }
 
-    private void strikeMessage(FaultKind kind, Participants parties, Runnable act) {
-        VirtualLink link = parties.link();
-        Runnable lose = parties.dropClientMessage();
+    private void injectMessageFault(FaultKind kind, Participants participants, Runnable action) {
+        VirtualLink link = participants.link();
+        Runnable dropMessage = participants.dropClientMessage();
         switch (kind) {
             case LINK_CUT -> {
                 if (link != null) {
                     link.close();
-                } else if (lose != null) {
-                    lose.run();
+                } else if (dropMessage != null) {
+                    dropMessage.run();
                 }
             }
             case ANSWER_LOST -> {
-                act.run();
+                action.run();
                 if (link != null) {
                     mClock.schedule(2 * LATENCY_NANOS, link::close);
-                } else if (lose != null) {
-                    lose.run();
+                } else if (dropMessage != null) {
+                    dropMessage.run();
                 }
             }
             case DELAY -> {
                 if (link != null) {
                     link.delay(DELAY_NANOS);
-                    act.run();
+                    action.run();
                 } else {
-                    mClock.schedule(DELAY_NANOS, act);
+                    mClock.schedule(DELAY_NANOS, action);
                 }
             }
             case REORDER -> {
                 if (link != null) {
                     link.reorderNext();
                 }
-                act.run();
+                action.run();
             }
             default -> {
-                act.run();
-                act.run();
+                action.run();
+                action.run();
             }
         }
     }
 
-    private void strikeStore(FaultKind kind, Runnable act) {
+    private void injectStoreFault(FaultKind kind, Runnable action) {
         switch (kind) {
             case STORE_DOWN -> mStore.setDownUntil(mClock.now() + OUTAGE_NANOS);
             case STORE_SLOW -> mStore.setSlowUntil(mClock.now() + OUTAGE_NANOS);
-            default -> mStore.dropResponses(FAULTY_ACTS);
+            default -> mStore.dropResponses(FAULTY_ACTIONS);
         }
-        act.run();
+        action.run();
     }
 
-    private void strikeAgent(FaultKind kind, Participants parties, Runnable act) {
-        VirtualAgent agent = parties.agent();
+    private void injectAgentFault(FaultKind kind, Participants participants, Runnable action) {
+        VirtualAgent agent = participants.agent();
         if (agent == null) {
-            act.run();
+            action.run();
             return;
         }
         switch (kind) {
             case AGENT_CRASH_BEFORE -> agent.crash();
             case AGENT_CRASH_AFTER -> {
-                act.run();
+                action.run();
                 agent.crash();
             }
             case AGENT_PAUSE -> {
                 agent.pause(PAUSE_NANOS);
-                agent.run(act);
+                agent.run(action);
             }
             case VM_LIST_STALE -> {
-                mFrozenList = vmList();
-                mFrozenUntil = mClock.now() + STALE_NANOS;
-                act.run();
+                mFrozenVmList = vmList();
+                mVmListFrozenUntil = mClock.now() + STALE_VM_LIST_NANOS;
+                action.run();
                 agent.crash();
             }
             case ENDPOINT_CRASH -> {
                 crashEndpoint(agent, RESTART_NANOS);
-                act.run();
+                action.run();
             }
             case TRUNCATED_STREAM -> {
-                agent.mEngine.truncateStreams(FAULTY_ACTS);
-                act.run();
+                agent.mEngine.truncateStreams(FAULTY_ACTIONS);
+                action.run();
             }
             default -> {
-                agent.mEngine.failLoads(FAULTY_ACTS);
-                act.run();
+                agent.mEngine.failLoads(FAULTY_ACTIONS);
+                action.run();
             }
         }
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDispatchOutputHandler.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDispatchOutputHandler.java
@@ -9,7 +9,7 @@
 import org.ebonyrun.core.routing.DispatchOutputs;
 import org.ebonyrun.core.routing.Work;
 
-/** Carries out what a virtual entry's dispatch duty decides. Not thread safe. */
+/** Performs the outputs of a virtual entry's dispatcher. Not thread safe. */
 final class VirtualDispatchOutputHandler implements DispatchOutputs {
     private final VirtualEntry mEntry;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEngine.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEngine.java
@@ -13,8 +13,8 @@
 import org.ebonyrun.daemon.agent.EndpointListener;
 
 /**
- * An endpoint in virtual time: continuous batching, a prefix cache of limited size, weight swaps
- * under running streams, and a log of what it ran.
+ * An endpoint in virtual time that models continuous batching, a prefix cache of limited size, and
+ * weight swaps while streams are running. Keeps a log of its runs.
  *
  * <p>Not thread safe.
  */
@@ -22,28 +22,28 @@
     private static final long LATENCY_NANOS = Nanos.ofMillis(1);
     private static final long NANOS_PER_MICRO = 1_000;
 
-    private final VirtualClock mTime;
+    private final VirtualClock mClock;
     private final String mName;
     private final List<VirtualRun> mLog = new ArrayList<>();
-    private final Map<AttemptId, VirtualRun> mOpen = new LinkedHashMap<>();
-    private final Map<String, Boolean> mCache;
+    private final Map<AttemptId, VirtualRun> mRunning = new LinkedHashMap<>();
+    private final Map<String, Boolean> mPrefixCache;
     private EngineModel mModel;
-    private EndpointListener mEvents;
+    private EndpointListener mListener;
     private long mVersion;
     private long mHighestFence;
-    private long mFencedOrders;
+    private long mAcceptedStaleOrders;
     private int mLoadsToFail;
-    private int mStreamsToCut;
+    private int mStreamsToTruncate;
     private boolean mDown;
-    private long mLife;
-    private double mSlowFactor = 1;
+    private long mIncarnation;
+    private double mSlowdownFactor = 1;
 
-    VirtualEngine(VirtualClock time, String name, EngineModel model, long version) {
-        mTime = time;
+    VirtualEngine(VirtualClock clock, String name, EngineModel model, long version) {
+        mClock = clock;
         mName = name;
         mModel = model;
         mVersion = version;
-        mCache =
+        mPrefixCache =
                 new LinkedHashMap<>(16, 0.75f, true) {
                     private static final long serialVersionUID = 1L;
 
@@ -54,18 +54,18 @@
                 };
     }
 
-    void setListener(EndpointListener events) {
-        mEvents = events;
+    void setListener(EndpointListener listener) {
+        mListener = listener;
     }
 
-    /** Returns everything that the endpoint began to run. */
+    /** Returns all runs that the endpoint has started. */
     public List<VirtualRun> log() {
         return mLog;
     }
 
-    /** Returns how many orders were obeyed although a higher fence had been seen. */
+    /** Returns the number of orders accepted although a higher fence had been seen before. */
     public long acceptedStaleOrders() {
-        return mFencedOrders;
+        return mAcceptedStaleOrders;
     }
 
     long version() {
@@ -73,7 +73,7 @@
     }
 
     int running() {
-        return mOpen.size();
+        return mRunning.size();
     }
 
     boolean isDown() {
@@ -81,7 +81,7 @@
     }
 
     void setSlowFactor(double factor) {
-        mSlowFactor = factor;
+        mSlowdownFactor = factor;
     }
 
     void failLoads(int count) {
@@ -89,7 +89,7 @@
     }
 
     void truncateStreams(int count) {
-        mStreamsToCut = count;
+        mStreamsToTruncate = count;
     }
 
     void ignoreFences() {
@@ -106,16 +106,16 @@
                         false);
     }
 
-    /** Breaks all streams off; the endpoint answers nothing until it is restarted. */
+    /** Fails all streams; the endpoint is unreachable until it is restarted. */
     void crash() {
         mDown = true;
-        mLife++;
-        mCache.clear();
-        List<VirtualRun> broken = List.copyOf(mOpen.values());
-        mOpen.clear();
-        for (VirtualRun run : broken) {
+        mIncarnation++;
+        mPrefixCache.clear();
+        List<VirtualRun> interrupted = List.copyOf(mRunning.values());
+        mRunning.clear();
+        for (VirtualRun run : interrupted) {
             run.mStopped = true;
-            mEvents.onFailure(run.mAttempt, true, FaultCode.PEER_LOST, "connection closed");
+            mListener.onFailure(run.mAttempt, true, FaultCode.PEER_LOST, "connection closed");
         }
     }
 
@@ -124,89 +124,89 @@
     }
 
     void start(AttemptId id, VirtualRequest request) {
-        mTime.schedule(LATENCY_NANOS, () -> begin(id, request));
+        mClock.schedule(LATENCY_NANOS, () -> begin(id, request));
     }
 
     void stop(AttemptId id) {
-        VirtualRun run = mOpen.remove(id);
+        VirtualRun run = mRunning.remove(id);
         if (run != null) {
             run.mStopped = true;
         }
     }
 
-    /** Stops whatever runs without a word, as when the agent that asked for it is gone. */
+    /** Stops all runs without notifying the listener, for the case that the agent has crashed. */
     void stopAll() {
-        mOpen.values().forEach(run -> run.mStopped = true);
-        mOpen.clear();
+        mRunning.values().forEach(run -> run.mStopped = true);
+        mRunning.clear();
     }
 
     void reportState() {
         if (mDown) {
-            mEvents.onUnreachable();
+            mListener.onUnreachable();
         } else {
-            mEvents.onState(mModel.plain() ? 0 : mVersion, mModel.slots());
+            mListener.onState(mModel.plain() ? 0 : mVersion, mModel.slots());
         }
     }
 
     void load(long version, long fence) {
         if (mDown) {
-            mTime.schedule(LATENCY_NANOS, () -> loaded(version, "connect refused"));
+            mClock.schedule(LATENCY_NANOS, () -> finishLoad(version, "connect refused"));
             return;
         }
         if (fence < mHighestFence) {
             if (mModel.checksFence()) {
-                mTime.schedule(LATENCY_NANOS, () -> loaded(version, "old fence"));
+                mClock.schedule(LATENCY_NANOS, () -> finishLoad(version, "old fence"));
                 return;
             }
-            mFencedOrders++;
+            mAcceptedStaleOrders++;
         }
         mHighestFence = Math.max(mHighestFence, fence);
-        long life = mLife;
+        long incarnation = mIncarnation;
         boolean fails = mLoadsToFail > 0;
         mLoadsToFail = Math.max(0, mLoadsToFail - 1);
-        mTime.schedule(
+        mClock.schedule(
                 Nanos.ofMillis(mModel.swapMillis()),
                 () -> {
-                    boolean lost = life != mLife || fails;
-                    if (!lost) {
+                    boolean failed = incarnation != mIncarnation || fails;
+                    if (!failed) {
                         mVersion = version;
                     }
-                    loaded(version, lost ? "load failed" : "");
+                    finishLoad(version, failed ? "load failed" : "");
                 });
     }
 
-    private void loaded(long version, String error) {
+    private void finishLoad(long version, String error) {
         Optional<Fault> fault =
                 error.isEmpty()
                         ? Optional.empty()
                         : Optional.of(
                                 Fault.failed(
                                         FaultCode.ENDPOINT_ERROR, "engine.load", mName, error));
-        mEvents.onLoadFinished(version, fault);
+        mListener.onLoadFinished(version, fault);
     }
 
     private void begin(AttemptId id, VirtualRequest request) {
         if (mDown) {
-            mEvents.onFailure(id, false, FaultCode.PEER_LOST, "connect refused");
+            mListener.onFailure(id, false, FaultCode.PEER_LOST, "connect refused");
             return;
         }
-        VirtualRun run = new VirtualRun(mName + "-" + mLog.size(), id, request, mTime.now());
+        VirtualRun run = new VirtualRun(mName + "-" + mLog.size(), id, request, mClock.now());
         mLog.add(run);
-        mOpen.put(id, run);
-        boolean cached = mCache.put(request.prefix(), Boolean.TRUE) != null;
+        mRunning.put(id, run);
+        boolean cached = mPrefixCache.put(request.prefix(), Boolean.TRUE) != null;
         long prefill = cached ? 0 : request.promptTokens() * mModel.prefillMicros();
-        mTime.schedule(prefill * NANOS_PER_MICRO + pieceNanos(run), () -> next(run));
+        mClock.schedule(prefill * NANOS_PER_MICRO + pieceNanos(run), () -> sendNextPiece(run));
     }
 
-    private void next(VirtualRun run) {
+    private void sendNextPiece(VirtualRun run) {
         if (run.mStopped) {
             return;
         }
-        if (mStreamsToCut > 0) {
-            mStreamsToCut--;
-            mOpen.remove(run.mAttempt);
+        if (mStreamsToTruncate > 0) {
+            mStreamsToTruncate--;
+            mRunning.remove(run.mAttempt);
             run.mStopped = true;
-            mEvents.onFailure(run.mAttempt, true, FaultCode.TRUNCATED, "no end mark");
+            mListener.onFailure(run.mAttempt, true, FaultCode.TRUNCATED, "no end mark");
             return;
         }
         boolean first = run.mSentTokens == 0;
@@ -218,24 +218,24 @@
         String text =
                 (first ? run.answerPrefix() : "")
                         + run.pieceText(run.mSentTokens - count, run.mSentTokens);
-        mEvents.onPiece(
+        mListener.onPiece(
                 run.mAttempt,
                 text.getBytes(StandardCharsets.UTF_8),
                 count,
                 mModel.plain() ? 0 : mVersion);
         if (run.mSentTokens < run.mRequest.tokens()) {
-            mTime.schedule(pieceNanos(run), () -> next(run));
+            mClock.schedule(pieceNanos(run), () -> sendNextPiece(run));
             return;
         }
         run.mFinished = true;
-        mOpen.remove(run.mAttempt);
-        mEvents.onEnd(run.mAttempt, 200, "text/plain");
+        mRunning.remove(run.mAttempt);
+        mListener.onEnd(run.mAttempt, 200, "text/plain");
     }
 
     private long pieceNanos(VirtualRun run) {
         int tokens = Math.min(mModel.tokensPerPiece(), run.mRequest.tokens() - run.mSentTokens);
-        double load = (double) Math.max(0, mOpen.size() - 1) / Math.max(1, mModel.slots() - 1);
-        double factor = (1 + mModel.batchSlowdown() * load) * mSlowFactor;
+        double load = (double) Math.max(0, mRunning.size() - 1) / Math.max(1, mModel.slots() - 1);
+        double factor = (1 + mModel.batchSlowdown() * load) * mSlowdownFactor;
         return (long) (tokens * mModel.tokenMicros() * factor * NANOS_PER_MICRO);
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEntry.java
@@ -41,22 +41,22 @@
 import org.ebonyrun.daemon.store.StoredConfig;
 import org.jspecify.annotations.Nullable;
 
-/** An entry's decision code in a virtual world. Not thread safe. */
+/** An entry's state machines in a virtual deployment. Not thread safe. */
 public final class VirtualEntry extends VirtualProcess {
-    private static final long TICK_NANOS = Nanos.ofMillis(50);
-    private static final long SLOW_TICK_NANOS = Nanos.ofMillis(100);
+    private static final long TICK_PERIOD_NANOS = Nanos.ofMillis(50);
+    private static final long SLOW_TICK_PERIOD_NANOS = Nanos.ofMillis(100);
     private static final long WATCH_MILLIS = 5_000;
-    private static final long PAUSE_NANOS = Nanos.ofMillis(1_000);
+    private static final long POLL_PERIOD_NANOS = Nanos.ofMillis(1_000);
     private static final long MIN_TIMEOUT_MILLIS = 5_000;
-    private static final long TIMEOUT_PER_TARGET = 4;
+    private static final long TIMEOUT_TARGET_RATIO = 4;
     private static final int ENTRIES_PER_ENDPOINT = 4;
 
     final VmId mVm;
     final FailureDomain mDomain;
     final Map<VmId, VirtualLink> mLinksByVm = new HashMap<>();
     final Map<Long, Consumer<StepReply>> mReplyHandlers = new HashMap<>();
-    final Map<Long, Client> mCalls = new HashMap<>();
-    private final Set<Runnable> mClients = new HashSet<>();
+    final Map<Long, OpenCall> mCalls = new HashMap<>();
+    private final Set<Runnable> mOpenRequests = new HashSet<>();
     LeaseHolder mIdentity;
     Dispatcher mDispatcher;
     RolloutMachine mRollout;
@@ -65,29 +65,30 @@
     ConfigMachine mConfig;
     ManifestStore mManifests;
     LeaseClient mLeases;
-    private ClaimStore mClaims;
-    private ConfigStore mConfigs;
+    private ClaimStore mClaimStore;
+    private ConfigStore mConfigStore;
     OperatorConfig mCurrentConfig = OperatorConfig.empty();
     private long mConfigRevision;
     private boolean mReverted;
     private boolean mDraining;
-    private long mIds;
+    private long mLastId;
 
-    VirtualEntry(VirtualDeployment world, VmId vm, FailureDomain domain) {
-        super(world);
+    VirtualEntry(VirtualDeployment deployment, VmId vm, FailureDomain domain) {
+        super(deployment);
         mVm = vm;
         mDomain = domain;
     }
 
-    /** A call in progress, its claim if it has one, and its collected answer. */
-    record Client(VirtualCall call, ClaimStore.@Nullable Claim claim, Consumer<CallOutcome> sink) {}
+    /** A call in progress, its claim if it has one, and the receiver of its outcome. */
+    record OpenCall(
+            VirtualCall call, ClaimStore.@Nullable Claim claim, Consumer<CallOutcome> sink) {}
 
     /** Returns the entry's VM. */
     public VmId vm() {
         return mVm;
     }
 
-    /** Returns the configuration version in force here. */
+    /** Returns the configuration version that this entry has adopted. */
     public long configVersion() {
         return mCurrentConfig.version();
     }
@@ -108,8 +109,8 @@
         mDraining = false;
         mManifests = ManifestStore.create(mDeployment.mStore);
         mLeases = LeaseClient.create(mDeployment.mStore, mIdentity);
-        mClaims = ClaimStore.create(mDeployment.mStore);
-        mConfigs = ConfigStore.create(mDeployment.mStore);
+        mClaimStore = ClaimStore.create(mDeployment.mStore);
+        mConfigStore = ConfigStore.create(mDeployment.mStore);
         mDispatcher =
                 Dispatcher.create(
                         incarnation,
@@ -118,7 +119,7 @@
         mRollout =
                 RolloutMachine.create(
                         mIdentity,
-                        VirtualEntry::body,
+                        VirtualEntry::encodeRequest,
                         mDeployment.mPolicies.stragglers(),
                         new VirtualRolloutOutputHandler(this));
         mMembership =
@@ -130,9 +131,9 @@
                         new VirtualMembershipOutputHandler(this));
         mPlanner = WeightPlanner.create(mIdentity, new VirtualPlannerOutputHandler(this));
         mConfig = ConfigMachine.create(new VirtualConfigOutputHandler(this));
-        scheduleEvery(TICK_NANOS, this::tick);
-        scheduleEvery(SLOW_TICK_NANOS, this::slowTick);
-        scheduleEvery(PAUSE_NANOS, () -> mMembership.onVmList(mDeployment.vmList(), now()));
+        scheduleEvery(TICK_PERIOD_NANOS, this::onTick);
+        scheduleEvery(SLOW_TICK_PERIOD_NANOS, this::onSlowTick);
+        scheduleEvery(POLL_PERIOD_NANOS, () -> mMembership.onVmList(mDeployment.vmList(), now()));
         mMembership.onVmList(mDeployment.vmList(), now());
         readConfig();
     }
@@ -143,9 +144,9 @@
         mLinksByVm.clear();
         mReplyHandlers.clear();
         mCalls.clear();
-        List<Runnable> clients = List.copyOf(mClients);
-        mClients.clear();
-        clients.forEach(lost -> mClock.schedule(Nanos.PER_MILLI, lost));
+        List<Runnable> openRequests = List.copyOf(mOpenRequests);
+        mOpenRequests.clear();
+        openRequests.forEach(lost -> mClock.schedule(Nanos.PER_MILLI, lost));
     }
 
     long now() {
@@ -153,49 +154,52 @@
     }
 
     long nextId() {
-        return ++mIds;
+        return ++mLastId;
     }
 
-    /** Begins a graceful shutdown; the entry ends when nothing is open. */
+    /** Begins a graceful shutdown; the entry stops when no request is open. */
     void drain() {
         mDeployment.performWithFault(
                 InjectionPoint.ENTRY_DRAIN,
                 Participants.ofEntry(this),
                 () -> {
                     mDraining = true;
-                    endWhenIdle();
+                    stopWhenIdle();
                 });
     }
 
-    /** Takes a call, as the HTTP interface does. The sink is called once. */
+    /** Handles a call, as the HTTP interface does. The sink is called once. */
     void handleCall(VirtualCall call, Consumer<CallOutcome> sink) {
         Runnable lost = () -> sink.accept(CallOutcome.lost());
-        mClients.add(lost);
+        mOpenRequests.add(lost);
         Consumer<CallOutcome> once =
-                end -> {
-                    if (mClients.remove(lost)) {
-                        sink.accept(end);
+                outcome -> {
+                    if (mOpenRequests.remove(lost)) {
+                        sink.accept(outcome);
                     }
                 };
-        run(() -> begin(call, once));
+        run(() -> startCall(call, once));
     }
 
-    /** Takes a request about a step, as the HTTP interface does. The sink is called once. */
+    /**
+     * Handles a request about a step, as the HTTP interface does. Calls either the sink or, if the
+     * entry stops first, {@code onLost}.
+     */
     void handleStepRequest(
             StepRequest request, boolean forwarded, Consumer<StepReply> sink, Runnable onLost) {
-        mClients.add(onLost);
+        mOpenRequests.add(onLost);
         run(
                 () -> {
                     if (mDraining) {
-                        mClients.remove(onLost);
-                        sink.accept(StepReply.failed(draining()));
+                        mOpenRequests.remove(onLost);
+                        sink.accept(StepReply.failed(drainingFault()));
                         return;
                     }
                     long id = nextId();
                     mReplyHandlers.put(
                             id,
                             reply -> {
-                                if (mClients.remove(onLost)) {
+                                if (mOpenRequests.remove(onLost)) {
                                     sink.accept(reply);
                                 }
                             });
@@ -203,15 +207,15 @@
                 });
     }
 
-    /** Applies an operator's change. The sink is called once, unless the entry dies. */
+    /** Applies an operator's change. The sink is called once, unless the entry stops first. */
     void applyConfig(
-            long expected, String text, String nonce, Consumer<Result<StoredConfig>> sink) {
+            long expectedVersion, String text, String nonce, Consumer<Result<StoredConfig>> sink) {
         run(
                 () ->
                         mDeployment.performWithFault(
                                 InjectionPoint.CONFIG_WRITE,
                                 Participants.ofEntry(this),
-                                () -> replaceConfig(expected, text, nonce, sink)));
+                                () -> replaceConfig(expectedVersion, text, nonce, sink)));
     }
 
     void onLinkOpened(VirtualLink link) {
@@ -242,8 +246,8 @@
             mRollout.onMessage(vm, (AttemptMessage) message, now());
         } else if (message instanceof AttemptMessage attempt) {
             mDispatcher.onMessage(vm, attempt, now());
-        } else if (message instanceof MembershipMessage.Heartbeat beat) {
-            onHeartbeat(link, beat);
+        } else if (message instanceof MembershipMessage.Heartbeat heartbeat) {
+            onHeartbeat(link, heartbeat);
         } else if (message instanceof ConfigMessage config) {
             mConfig.onMessage(link.mNumber, config);
         } else if (message instanceof WeightMessage.LoadResult result) {
@@ -251,11 +255,11 @@
         }
     }
 
-    private void onHeartbeat(VirtualLink link, MembershipMessage.Heartbeat beat) {
+    private void onHeartbeat(VirtualLink link, MembershipMessage.Heartbeat heartbeat) {
         VmId vm = link.mAgent.mVm;
-        EndpointLoad load = beat.load();
+        EndpointLoad load = heartbeat.load();
         mMembership.onMessageReceived(vm, load != null && load.leaving(), now());
-        mConfig.onPeerVersion(link.mNumber, beat.configVersion());
+        mConfig.onPeerVersion(link.mNumber, heartbeat.configVersion());
         if (load != null) {
             mDispatcher.onHeartbeat(vm, load, now());
             mPlanner.onVersion(vm, link.mAgent.mService, load.version(), true);
@@ -267,25 +271,25 @@
         mCurrentConfig = config;
     }
 
-    private void tick() {
+    private void onTick() {
         mDispatcher.onTick(now());
         mRollout.onTick(now());
     }
 
-    private void slowTick() {
+    private void onSlowTick() {
         mMembership.onTick(now());
         mPlanner.onTick(now());
     }
 
-    private void begin(VirtualCall call, Consumer<CallOutcome> sink) {
+    private void startCall(VirtualCall call, Consumer<CallOutcome> sink) {
         ClassSpec spec = mCurrentConfig.classSpec(call.className()).orElse(null);
         if (mDraining || spec == null) {
-            sink.accept(CallOutcome.failed(draining()));
+            sink.accept(CallOutcome.failed(drainingFault()));
             return;
         }
         long id = nextId();
         long timeout =
-                Math.max(MIN_TIMEOUT_MILLIS, spec.targetLatencyMillis() * TIMEOUT_PER_TARGET);
+                Math.max(MIN_TIMEOUT_MILLIS, spec.targetLatencyMillis() * TIMEOUT_TARGET_RATIO);
         Work work =
                 new Work(
                         id,
@@ -305,7 +309,7 @@
                         null,
                         0);
         if (call.idempotencyKey() == null) {
-            mCalls.put(id, new Client(call, null, sink));
+            mCalls.put(id, new OpenCall(call, null, sink));
             mDispatcher.submit(work, now());
             return;
         }
@@ -318,18 +322,18 @@
     private void claim(VirtualCall call, Work work, Consumer<CallOutcome> sink) {
         String nonce = Long.toHexString(mDeployment.mRandom.nextLong());
         whenDone(
-                mClaims.claim(call.className(), String.valueOf(call.idempotencyKey()), nonce),
-                result -> claimed(result, call, work, sink));
+                mClaimStore.claim(call.className(), String.valueOf(call.idempotencyKey()), nonce),
+                result -> onClaimResult(result, call, work, sink));
     }
 
-    private void claimed(
+    private void onClaimResult(
             Result<ClaimStore.Claim> result,
             VirtualCall call,
             Work work,
             Consumer<CallOutcome> sink) {
         result.fold(
                 claim -> {
-                    mCalls.put(work.id(), new Client(call, claim, sink));
+                    mCalls.put(work.id(), new OpenCall(call, claim, sink));
                     mDispatcher.submit(work, now());
                     return true;
                 },
@@ -340,29 +344,29 @@
     }
 
     void failCall(Work work, Fault fault) {
-        Client client = mCalls.remove(work.id());
-        if (client == null) {
+        OpenCall call = mCalls.remove(work.id());
+        if (call == null) {
             return;
         }
-        if (client.claim() != null && fault.isNotRun()) {
-            mClaims.release(client.claim());
+        if (call.claim() != null && fault.isNotRun()) {
+            mClaimStore.release(call.claim());
         }
-        client.sink().accept(CallOutcome.failed(fault));
+        call.sink().accept(CallOutcome.failed(fault));
     }
 
     void completeCall(Work work, byte[] body, int tokens) {
-        Client client = mCalls.remove(work.id());
-        if (client != null) {
+        OpenCall call = mCalls.remove(work.id());
+        if (call != null) {
             String text = new String(body, StandardCharsets.UTF_8);
-            client.sink().accept(CallOutcome.answered(text, tokens));
+            call.sink().accept(CallOutcome.answered(text, tokens));
         }
     }
 
     private void readConfig() {
-        whenDone(mConfigs.read(), this::onConfig);
+        whenDone(mConfigStore.read(), this::onConfigRead);
     }
 
-    private void onConfig(Result<ConfigStore.CurrentConfig> result) {
+    private void onConfigRead(Result<ConfigStore.CurrentConfig> result) {
         boolean ok =
                 result.fold(
                         current -> {
@@ -373,33 +377,33 @@
                         },
                         fault -> false);
         if (ok) {
-            whenDone(mConfigs.watch(mConfigRevision, WATCH_MILLIS), this::onConfig);
+            whenDone(mConfigStore.watch(mConfigRevision, WATCH_MILLIS), this::onConfigRead);
         } else {
-            schedule(PAUSE_NANOS, this::readConfig);
+            schedule(POLL_PERIOD_NANOS, this::readConfig);
         }
     }
 
     private void replaceConfig(
-            long expected, String text, String nonce, Consumer<Result<StoredConfig>> sink) {
+            long expectedVersion, String text, String nonce, Consumer<Result<StoredConfig>> sink) {
         whenDone(
-                mConfigs.replace(expected, "operator", text, nonce),
+                mConfigStore.replace(expectedVersion, "operator", text, nonce),
                 result -> {
-                    result.map(this::adopt);
+                    result.map(this::applyStored);
                     sink.accept(result);
                 });
     }
 
-    private boolean adopt(StoredConfig config) {
+    private boolean applyStored(StoredConfig config) {
         mConfig.onConfig(config.version(), config.text());
         return true;
     }
 
-    private void endWhenIdle() {
+    private void stopWhenIdle() {
         schedule(
-                TICK_NANOS,
+                TICK_PERIOD_NANOS,
                 () -> {
-                    if (!mClients.isEmpty()) {
-                        endWhenIdle();
+                    if (!mOpenRequests.isEmpty()) {
+                        stopWhenIdle();
                         return;
                     }
                     mRollout.handOver(now()).forEach(mLeases::release);
@@ -408,19 +412,19 @@
                 });
     }
 
-    private static byte[] body(PromptGroup group) {
+    private static byte[] encodeRequest(PromptGroup group) {
         String[] prompt = group.prompt().split("#");
         int promptTokens = prompt.length > 1 ? Integer.parseInt(prompt[1]) : 0;
         return new VirtualRequest(group.prompt(), group.prompt(), promptTokens, group.maxTokens())
                 .encode();
     }
 
-    private static Fault draining() {
-        return Fault.notRun(FaultCode.DRAINING, "entry", "", "the entry is leaving")
+    private static Fault drainingFault() {
+        return Fault.notRun(FaultCode.DRAINING, "entry", "", "the entry is draining")
                 .withRetryAfterMillis(200);
     }
 
-    /** Returns the links to agents. */
+    /** Returns a copy of the list of links to agents. */
     List<VirtualLink> links() {
         return new ArrayList<>(mLinksByVm.values());
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLeaseOutputHandler.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLeaseOutputHandler.java
@@ -6,7 +6,7 @@
 import org.ebonyrun.core.lease.LeaseOutputs;
 import org.ebonyrun.core.lease.LeaseRecord;
 
-/** Takes and extends leases for a duty of a virtual entry. Not thread safe. */
+/** Acquires and renews leases for a state machine of a virtual entry. Not thread safe. */
 final class VirtualLeaseOutputHandler implements LeaseOutputs {
     private final VirtualEntry mEntry;
     private final Supplier<LeaseListener> mMachine;
@@ -19,7 +19,7 @@
     @Override
     public void acquire(String key) {
         mEntry.mDeployment.performWithFault(
-                InjectionPoint.LEASE_ACQUIRE, Participants.ofEntry(mEntry), () -> doAcquire(key));
+                InjectionPoint.LEASE_ACQUIRE, Participants.ofEntry(mEntry), () -> sendAcquire(key));
     }
 
     @Override
@@ -27,17 +27,17 @@
         mEntry.mDeployment.performWithFault(
                 InjectionPoint.LEASE_RENEW,
                 Participants.ofEntry(mEntry),
-                () -> doRenew(key, revision));
+                () -> sendRenew(key, revision));
     }
 
-    private void doAcquire(String key) {
-        mEntry.whenDone(mEntry.mLeases.acquire(key), result -> onReading(key, result));
+    private void sendAcquire(String key) {
+        mEntry.whenDone(mEntry.mLeases.acquire(key), result -> onRecord(key, result));
     }
 
-    private void onReading(String key, Result<LeaseRecord> result) {
+    private void onRecord(String key, Result<LeaseRecord> result) {
         result.fold(
-                reading -> {
-                    mMachine.get().onLeaseRecord(key, reading, mEntry.now());
+                leaseRecord -> {
+                    mMachine.get().onLeaseRecord(key, leaseRecord, mEntry.now());
                     return true;
                 },
                 fault -> {
@@ -46,7 +46,7 @@
                 });
     }
 
-    private void doRenew(String key, long revision) {
+    private void sendRenew(String key, long revision) {
         mEntry.whenDone(mEntry.mLeases.renew(key, revision), result -> onRenewed(key, result));
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLink.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualLink.java
@@ -12,12 +12,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A connection of an entry to an agent: ordered both ways until it is cut.
+ * A connection between an entry and an agent. Delivers messages in order in each direction until it
+ * is closed.
  *
  * <p>Not thread safe.
  */
 final class VirtualLink {
-    private static final Map<Class<? extends Message>, InjectionPoint> STEPS =
+    private static final Map<Class<? extends Message>, InjectionPoint> INJECTION_POINTS =
             Map.ofEntries(
                     entry(AttemptMessage.Piece.class, InjectionPoint.CALL_PIECE),
                     entry(AttemptMessage.Done.class, InjectionPoint.CALL_DONE),
@@ -33,19 +34,19 @@
                     entry(WeightMessage.LoadResult.class, InjectionPoint.LOAD_RESULT));
 
     private static final long LATENCY_NANOS = Nanos.ofMillis(1);
-    private static final long REORDER_NANOS = Nanos.ofMillis(60);
+    private static final long REORDER_DELAY_NANOS = Nanos.ofMillis(60);
 
     final long mNumber;
     final VirtualEntry mEntry;
     final VirtualAgent mAgent;
-    private final VirtualDeployment mWorld;
-    private long mToAgentAt;
-    private long mToEntryAt;
+    private final VirtualDeployment mDeployment;
+    private long mLastArrivalAtAgent;
+    private long mLastArrivalAtEntry;
     private boolean mReorder;
     private boolean mOpen = true;
 
-    VirtualLink(VirtualDeployment world, long number, VirtualEntry entry, VirtualAgent agent) {
-        mWorld = world;
+    VirtualLink(VirtualDeployment deployment, long number, VirtualEntry entry, VirtualAgent agent) {
+        mDeployment = deployment;
         mNumber = number;
         mEntry = entry;
         mAgent = agent;
@@ -59,8 +60,8 @@
         return send(
                 message,
                 () -> {
-                    mToAgentAt = arrival(mToAgentAt);
-                    long at = takeReorder(mToAgentAt);
+                    mLastArrivalAtAgent = arrival(mLastArrivalAtAgent);
+                    long at = applyReorder(mLastArrivalAtAgent);
                     deliver(at, () -> mAgent.run(() -> mAgent.onMessage(this, message)));
                 });
     }
@@ -69,61 +70,61 @@
         return send(
                 message,
                 () -> {
-                    mToEntryAt = arrival(mToEntryAt);
-                    long at = takeReorder(mToEntryAt);
+                    mLastArrivalAtEntry = arrival(mLastArrivalAtEntry);
+                    long at = applyReorder(mLastArrivalAtEntry);
                     deliver(at, () -> mEntry.run(() -> mEntry.onMessage(this, message)));
                 });
     }
 
-    /** Cuts the link; each side that lives hears of it. */
+    /** Closes the link and notifies each side that is alive. */
     void close() {
         if (!mOpen) {
             return;
         }
         mOpen = false;
-        Runnable atEntry = mEntry.guarded(() -> mEntry.onLinkClosed(this));
-        Runnable atAgent = mAgent.guarded(() -> mAgent.onLinkClosed(this));
-        mWorld.mClock.schedule(LATENCY_NANOS, atEntry);
-        mWorld.mClock.schedule(LATENCY_NANOS, atAgent);
+        Runnable notifyEntry = mEntry.guarded(() -> mEntry.onLinkClosed(this));
+        Runnable notifyAgent = mAgent.guarded(() -> mAgent.onLinkClosed(this));
+        mDeployment.mClock.schedule(LATENCY_NANOS, notifyEntry);
+        mDeployment.mClock.schedule(LATENCY_NANOS, notifyAgent);
     }
 
-    /** Lets everything that is sent from now on arrive late. */
+    /** Delays messages sent from now on: none arrives within the given time, in nanoseconds. */
     void delay(long nanos) {
-        mToAgentAt = mWorld.mClock.now() + nanos;
-        mToEntryAt = mWorld.mClock.now() + nanos;
+        mLastArrivalAtAgent = mDeployment.mClock.now() + nanos;
+        mLastArrivalAtEntry = mDeployment.mClock.now() + nanos;
     }
 
-    /** Lets the next message arrive after the ones that follow it. */
+    /** Delays the next message by 60 ms, so that later messages arrive before it. */
     void reorderNext() {
         mReorder = true;
     }
 
-    private boolean send(Message message, Runnable act) {
+    private boolean send(Message message, Runnable action) {
         if (!mOpen) {
             return false;
         }
-        InjectionPoint step = step(message);
-        if (step == null) {
-            act.run();
+        InjectionPoint injectionPoint = injectionPoint(message);
+        if (injectionPoint == null) {
+            action.run();
         } else {
-            mWorld.performWithFault(step, Participants.ofLink(this), act);
+            mDeployment.performWithFault(injectionPoint, Participants.ofLink(this), action);
         }
         return true;
     }
 
-    private long arrival(long earlier) {
-        return Math.max(earlier, mWorld.mClock.now() + LATENCY_NANOS);
+    private long arrival(long previous) {
+        return Math.max(previous, mDeployment.mClock.now() + LATENCY_NANOS);
     }
 
-    private long takeReorder(long at) {
-        long arrival = mReorder ? at + REORDER_NANOS : at;
+    private long applyReorder(long at) {
+        long arrival = mReorder ? at + REORDER_DELAY_NANOS : at;
         mReorder = false;
         return arrival;
     }
 
     private void deliver(long at, Runnable delivery) {
-        mWorld.mClock.schedule(
-                at - mWorld.mClock.now(),
+        mDeployment.mClock.schedule(
+                at - mDeployment.mClock.now(),
                 () -> {
                     if (mOpen) {
                         delivery.run();
@@ -131,11 +132,11 @@
                 });
     }
 
-    private static @Nullable InjectionPoint step(Message message) {
+    private static @Nullable InjectionPoint injectionPoint(Message message) {
         if (message instanceof AttemptMessage.Offer offer) {
             boolean sample = offer.job().kind() == WorkKind.SAMPLE;
             return sample ? InjectionPoint.SAMPLE_OFFER : InjectionPoint.CALL_OFFER;
         }
-        return STEPS.get(message.getClass());
+        return INJECTION_POINTS.get(message.getClass());
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualMembershipOutputHandler.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualMembershipOutputHandler.java
@@ -6,7 +6,7 @@
 import org.ebonyrun.core.membership.MembershipOutputs;
 import org.ebonyrun.core.membership.Peer;
 
-/** Carries out what a virtual entry's membership duty decides. Not thread safe. */
+/** Performs the outputs of a virtual entry's membership machine. Not thread safe. */
 final class VirtualMembershipOutputHandler implements MembershipOutputs {
     private final VirtualEntry mEntry;
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualPlannerOutputHandler.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualPlannerOutputHandler.java
@@ -7,7 +7,7 @@
 import org.ebonyrun.core.weights.PlannerOutputs;
 import org.ebonyrun.core.weights.WeightMessage;
 
-/** Carries out what a virtual entry's weight planner decides. Not thread safe. */
+/** Performs the outputs of a virtual entry's weight planner. Not thread safe. */
 final class VirtualPlannerOutputHandler implements PlannerOutputs {
     private final VirtualEntry mEntry;
     private final LeaseOutputs mLeases;
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualProcess.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualProcess.java
@@ -7,8 +7,8 @@
 import org.ebonyrun.base.time.Nanos;
 
 /**
- * A process that can crash, restart, and stand still. What was scheduled before a crash never runs;
- * what arrives while it stands still runs when it goes on.
+ * A process that can crash, restart and be paused. Actions scheduled before a crash never run;
+ * actions that fall into a pause run at its end.
  *
  * <p>Not thread safe.
  */
@@ -17,26 +17,26 @@
 
     final VirtualDeployment mDeployment;
     final VirtualClock mClock;
-    private final List<Runnable> mBacklog = new ArrayList<>();
+    private final List<Runnable> mDeferredActions = new ArrayList<>();
     private boolean mAlive;
     private long mPausedUntil;
-    private long mLife;
+    private long mIncarnation;
     private boolean mTerminating;
 
-    VirtualProcess(VirtualDeployment world) {
-        mDeployment = world;
-        mClock = world.mClock;
+    VirtualProcess(VirtualDeployment deployment) {
+        mDeployment = deployment;
+        mClock = deployment.mClock;
     }
 
-    /** Makes a fresh process. */
+    /** Initializes the state of a new incarnation of the process. */
     abstract void onStart();
 
-    /** Forgets everything, and cuts all connections. */
+    /** Drops all state and closes all connections. */
     abstract void onCrash();
 
     final void start() {
         mAlive = true;
-        mLife++;
+        mIncarnation++;
         mPausedUntil = 0;
         onStart();
     }
@@ -45,7 +45,7 @@
         return mAlive;
     }
 
-    /** Dies now and restarts two seconds later, unless it was told to terminate. */
+    /** Crashes the process, which restarts two seconds later unless it is terminating. */
     final void crash() {
         if (!mAlive) {
             return;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Takes note that the supervisor told the process to terminate, and won't restart it. */
+    /** Records that the supervisor told the process to terminate and will not restart it. */
     final void markTerminating() {
         mTerminating = true;
     }
@@ -65,57 +65,57 @@
         return mTerminating;
     }
 
-    /** Dies now and stays away. */
+    /** Stops the process without a restart. */
     final void stop() {
         mAlive = false;
-        mLife++;
-        mBacklog.clear();
+        mIncarnation++;
+        mDeferredActions.clear();
         onCrash();
     }
 
-    /** Stands still for a while. */
+    /** Pauses the process; actions that fall into the pause run when it ends. */
     final void pause(long nanos) {
         if (!mAlive) {
             return;
         }
         mPausedUntil = mClock.now() + nanos;
-        long life = mLife;
+        long incarnation = mIncarnation;
         mClock.schedule(
                 nanos,
                 () -> {
-                    if (life == mLife) {
-                        List<Runnable> backlog = List.copyOf(mBacklog);
-                        mBacklog.clear();
-                        backlog.forEach(Runnable::run);
+                    if (incarnation == mIncarnation) {
+                        List<Runnable> deferred = List.copyOf(mDeferredActions);
+                        mDeferredActions.clear();
+                        deferred.forEach(Runnable::run);
                     }
                 });
     }
 
-    /** Runs an action in the process: now, or when it goes on; never if it is dead. */
+    /** Runs an action now, or at the end of a pause; drops it if the process is not alive. */
     final void run(Runnable action) {
         if (!mAlive) {
             return;
         }
         if (mClock.now() < mPausedUntil) {
-            mBacklog.add(action);
+            mDeferredActions.add(action);
         } else {
             action.run();
         }
     }
 
-    /** Runs an action later, if the process has not died until then. */
+    /** Schedules an action, which is dropped if the process stops before it is due. */
     final void schedule(long nanos, Runnable action) {
-        long life = mLife;
+        long incarnation = mIncarnation;
         mClock.schedule(
                 nanos,
                 () -> {
-                    if (life == mLife) {
+                    if (incarnation == mIncarnation) {
                         run(action);
                     }
                 });
     }
 
-    /** Runs an action once a period, until the process dies. */
+    /** Schedules an action to run after each period until the process stops. */
     final void scheduleEvery(long nanos, Runnable action) {
         schedule(
                 nanos,
@@ -125,27 +125,27 @@
                 });
     }
 
-    /** Hands an action to another duty of the process. */
+    /** Schedules an action without a delay, like a post to another event loop of the process. */
     final void post(Runnable action) {
         schedule(0, action);
     }
 
-    /** Returns an action that does nothing if the process dies before it is called. */
+    /** Wraps an action so that it does nothing once this incarnation of the process has stopped. */
     final Runnable guarded(Runnable action) {
-        long life = mLife;
+        long incarnation = mIncarnation;
         return () -> {
-            if (life == mLife) {
+            if (incarnation == mIncarnation) {
                 run(action);
             }
         };
     }
 
-    /** Handles a future's value in the process, unless the process dies before. */
+    /** Passes a future's value to a handler, unless the process stops before it is complete. */
     final <T> void whenDone(CompletableFuture<T> future, Consumer<T> handler) {
-        long life = mLife;
+        long incarnation = mIncarnation;
         future.thenAccept(
                 value -> {
-                    if (life == mLife) {
+                    if (incarnation == mIncarnation) {
                         run(() -> handler.accept(value));
                     }
                 });
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRequest.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRequest.java
@@ -3,18 +3,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A request body in a virtual world.
+ * A request body in a virtual deployment.
  *
- * @param prompt the prompt, which names the request
- * @param prefix the name of the prompt's prefix, which requests of one group share
- * @param promptTokens tokens of the prompt
- * @param tokens tokens of the answer
+ * @param prompt the prompt, which is unique to the request
+ * @param prefix the key of the prompt in the prefix cache; requests of one group share it
+ * @param promptTokens number of tokens of the prompt
+ * @param tokens number of tokens to generate
  */
 public record VirtualRequest(String prompt, String prefix, int promptTokens, int tokens) {
     private static final String SEPARATOR = "\n";
     private static final int PARTS = 4;
 
-    /** Returns the body. */
+    /** Encodes the request as a body. */
     public byte[] encode() {
         return String.join(
                         SEPARATOR,
@@ -25,7 +25,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads a body. */
+    /** Decodes a body that {@link #encode} has written. */
     public static VirtualRequest decode(byte[] body) {
         String[] parts = new String(body, StandardCharsets.UTF_8).split(SEPARATOR, PARTS);
         return new VirtualRequest(
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRolloutOutputHandler.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRolloutOutputHandler.java
@@ -20,7 +20,7 @@
 import org.ebonyrun.core.routing.Work;
 import org.jspecify.annotations.Nullable;
 
-/** Carries out what a virtual entry's rollout duty decides. Not thread safe. */
+/** Performs the outputs of a virtual entry's rollout machine. Not thread safe. */
 final class VirtualRolloutOutputHandler implements RolloutOutputs {
     private final VirtualEntry mEntry;
     private final LeaseOutputs mLeases;
@@ -55,10 +55,12 @@
     @Override
     public void loadManifest(TrainerId trainer, long step) {
         mEntry.whenDone(
-                mEntry.mManifests.load(trainer, step), result -> loaded(trainer, step, result));
+                mEntry.mManifests.load(trainer, step),
+                result -> onManifestLoaded(trainer, step, result));
     }
 
-    private void loaded(TrainerId trainer, long step, Result<Optional<StepManifest>> result) {
+    private void onManifestLoaded(
+            TrainerId trainer, long step, Result<Optional<StepManifest>> result) {
         StepManifest manifest =
                 result.<@Nullable StepManifest>fold(found -> found.orElse(null), fault -> null);
         mEntry.mRollout.onManifestLoaded(trainer, step, manifest, fault(result), mEntry.now());
@@ -115,15 +117,19 @@
 
     @Override
     public void forward(LeaseHolder owner, long requestId, StepRequest request) {
-        Consumer<StepReply> back = mEntry.mReplyHandlers.get(requestId);
+        Consumer<StepReply> replyHandler = mEntry.mReplyHandlers.get(requestId);
         Consumer<StepReply> sink =
                 reply -> {
-                    if (back != null) {
-                        back.accept(reply);
+                    if (replyHandler != null) {
+                        replyHandler.accept(reply);
                     }
                 };
-        Fault gone =
-                Fault.unknown(FaultCode.OWNER_UNAVAILABLE, "step.forward", "", "owner is gone");
+        Fault unreachable =
+                Fault.unknown(
+                        FaultCode.OWNER_UNAVAILABLE,
+                        "step.forward",
+                        "",
+                        "the owner is unreachable");
         mEntry.mDeployment.forward(
                 mEntry,
                 owner,
@@ -131,7 +137,7 @@
                 sink,
                 () -> {
                     mEntry.mRollout.onOwnerUnreachable(request.trainer(), mEntry.now());
-                    sink.accept(StepReply.failed(gone.withRetryAfterMillis(300)));
+                    sink.accept(StepReply.failed(unreachable.withRetryAfterMillis(300)));
                 });
     }
 
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRun.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualRun.java
@@ -4,7 +4,7 @@
 import java.util.TreeSet;
 import org.ebonyrun.base.id.AttemptId;
 
-/** One run at a virtual endpoint, and the entry of its log. Not thread safe. */
+/** One run at a virtual endpoint, kept in its log. Not thread safe. */
 public final class VirtualRun {
     final String mRunId;
     final AttemptId mAttempt;
@@ -22,12 +22,12 @@
         mStartedAt = startedAt;
     }
 
-    /** Returns the prompt, which names the request. */
+    /** Returns the prompt, which is unique to the request. */
     public String prompt() {
         return mRequest.prompt();
     }
 
-    /** Returns how many tokens were produced. */
+    /** Returns the number of tokens generated. */
     public int tokens() {
         return mSentTokens;
     }
@@ -37,35 +37,35 @@
         return mStopped;
     }
 
-    /** Returns whether the whole answer was produced. */
+    /** Returns whether the complete response was generated. */
     public boolean isFinished() {
         return mFinished;
     }
 
-    /** Returns the run's id, which begins its answer. */
+    /** Returns the run's ID, which the response starts with. */
     public String runId() {
         return mRunId;
     }
 
-    /** Returns the versions that produced tokens, ascending. */
+    /** Returns the weight versions that generated tokens, in ascending order. */
     public List<Long> versions() {
         return List.copyOf(mVersions);
     }
 
-    /** Returns the beginning of the answer: whose it is. */
+    /** Returns the start of the response, which identifies the run and the request. */
     String answerPrefix() {
         return mRunId + ":" + mRequest.prompt();
     }
 
-    /** Returns the text of the tokens of one piece. */
+    /** Returns the text of the tokens from {@code from} up to, but not including, {@code to}. */
     String pieceText(int from, int to) {
         return " " + from + "-" + to;
     }
 
     /**
-     * Returns the whole answer's text.
+     * Returns the text of the complete response.
      *
-     * @param tokensPerPiece tokens in each piece of the stream
+     * @param tokensPerPiece tokens per piece of the stream
      */
     public String completeText(int tokensPerPiece) {
         StringBuilder text = new StringBuilder(answerPrefix());
