--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualStore.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualStore.java
@@ -13,41 +13,41 @@
 import org.ebonyrun.ports.kv.WriteOutcome;
 import org.ebonyrun.standin.platform.KeyValueTable;
 
-/** A key-value service in virtual time, with faults. Not thread safe. */
+/** A key-value service in virtual time that injects faults. Not thread safe. */
 public final class VirtualStore implements KeyValueStore {
     private static final long LATENCY_NANOS = Nanos.ofMillis(2);
     private static final long TIMEOUT_NANOS = Nanos.ofMillis(2_000);
-    private static final long SLOW_NANOS = Nanos.ofMillis(1_500);
+    private static final long SLOW_LATENCY_NANOS = Nanos.ofMillis(1_500);
 
-    private final VirtualClock mTime;
+    private final VirtualClock mClock;
     private final KeyValueTable mTable = new KeyValueTable();
     private long mDownUntil;
     private long mSlowUntil;
-    private int mAnswersToLose;
-    private long mCalls;
+    private int mResponsesToDrop;
+    private long mCallCount;
 
-    VirtualStore(VirtualClock time) {
-        mTime = time;
+    VirtualStore(VirtualClock clock) {
+        mClock = clock;
     }
 
-    /** Lets every call time out until the given time; none takes effect. */
+    /** Makes every call time out without effect until the given time, in nanoseconds. */
     void setDownUntil(long time) {
         mDownUntil = time;
     }
 
-    /** Lets every call take long until the given time. */
+    /** Makes every call take 1.5 s until the given time, in nanoseconds. */
     void setSlowUntil(long time) {
         mSlowUntil = time;
     }
 
-    /** Loses the answers to the next writes, which take effect. */
+    /** Drops the responses to the next writes; the writes take effect. */
     void dropResponses(int count) {
-        mAnswersToLose = count;
+        mResponsesToDrop = count;
     }
 
-    /** Returns how many calls were made. */
+    /** Returns the number of calls so far. */
     public long callCount() {
-        return mCalls;
+        return mCallCount;
     }
 
     @Override
@@ -80,56 +80,59 @@
     @Override
     public CompletableFuture<Result<Optional<KeyValueEntry>>> watch(
             String key, long afterRevision, long waitMillis) {
-        CompletableFuture<Result<Optional<KeyValueEntry>>> answer = new CompletableFuture<>();
-        long deadline = mTime.now() + Nanos.ofMillis(waitMillis);
-        pollWatch(key, afterRevision, deadline, answer);
-        return answer;
+        CompletableFuture<Result<Optional<KeyValueEntry>>> future = new CompletableFuture<>();
+        long deadline = mClock.now() + Nanos.ofMillis(waitMillis);
+        pollWatch(key, afterRevision, deadline, future);
+        return future;
     }
 
     private void pollWatch(
             String key,
             long after,
             long deadline,
-            CompletableFuture<Result<Optional<KeyValueEntry>>> answer) {
-        if (mTime.now() < mDownUntil) {
-            mTime.schedule(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
+            CompletableFuture<Result<Optional<KeyValueEntry>>> future) {
+        if (mClock.now() < mDownUntil) {
+            mClock.schedule(TIMEOUT_NANOS, () -> future.complete(Result.err(unavailable())));
             return;
         }
         KeyValueEntry entry = mTable.get(key, nowMillis());
         boolean newer = entry != null && entry.revision() > after;
-        if (newer || mTime.now() >= deadline) {
-            answer.complete(Result.ok(Optional.ofNullable(entry)));
+        if (newer || mClock.now() >= deadline) {
+            future.complete(Result.ok(Optional.ofNullable(entry)));
         } else {
-            mTime.schedule(Nanos.ofMillis(100), () -> pollWatch(key, after, deadline, answer));
+            mClock.schedule(Nanos.ofMillis(100), () -> pollWatch(key, after, deadline, future));
         }
     }
 
     private <T> CompletableFuture<Result<T>> call(boolean write, Supplier<T> action) {
-        mCalls++;
-        CompletableFuture<Result<T>> answer = new CompletableFuture<>();
-        long now = mTime.now();
+        mCallCount++;
+        CompletableFuture<Result<T>> future = new CompletableFuture<>();
+        long now = mClock.now();
         if (now < mDownUntil) {
-            mTime.schedule(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
-            return answer;
+            mClock.schedule(TIMEOUT_NANOS, () -> future.complete(Result.err(unavailable())));
+            return future;
         }
-        long latency = now < mSlowUntil ? SLOW_NANOS : LATENCY_NANOS;
-        mTime.schedule(latency / 2, () -> perform(write, action, latency / 2, answer));
-        return answer;
+        long latency = now < mSlowUntil ? SLOW_LATENCY_NANOS : LATENCY_NANOS;
+        mClock.schedule(latency / 2, () -> perform(write, action, latency / 2, future));
+        return future;
     }
 
     private <T> void perform(
-            boolean write, Supplier<T> action, long wayBack, CompletableFuture<Result<T>> answer) {
+            boolean write,
+            Supplier<T> action,
+            long responseLatency,
+            CompletableFuture<Result<T>> future) {
         T value = action.get();
-        if (write && mAnswersToLose > 0) {
-            mAnswersToLose--;
-            mTime.schedule(TIMEOUT_NANOS, () -> answer.complete(Result.err(unavailable())));
+        if (write && mResponsesToDrop > 0) {
+            mResponsesToDrop--;
+            mClock.schedule(TIMEOUT_NANOS, () -> future.complete(Result.err(unavailable())));
         } else {
-            mTime.schedule(wayBack, () -> answer.complete(Result.ok(value)));
+            mClock.schedule(responseLatency, () -> future.complete(Result.ok(value)));
         }
     }
 
     private long nowMillis() {
-        return Nanos.toMillis(mTime.now());
+        return Nanos.toMillis(mClock.now());
     }
 
     private static Fault unavailable() {
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualTrainer.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualTrainer.java
@@ -14,8 +14,9 @@
 import org.ebonyrun.core.rollout.StepRequest;
 
 /**
- * A trainer in virtual time: submits a step, pulls until it is complete, trains, publishes weights,
- * begins again. Repeats a request whose answer is lost, with the same cursor.
+ * A trainer in virtual time, which runs a loop: it submits a step, pulls until the step is
+ * complete, trains, and publishes new weights. Repeats a request whose response is lost, with the
+ * same cursor.
  *
  * <p>Not thread safe.
  */
@@ -23,38 +24,39 @@
     private static final long LATENCY_NANOS = Nanos.ofMillis(1);
     private static final long TIMEOUT_NANOS = Nanos.ofMillis(8_000);
     private static final long RETRY_NANOS = Nanos.ofMillis(200);
-    private static final long WAIT_MILLIS = 2_000;
+    private static final long PULL_WAIT_MILLIS = 2_000;
 
-    private final VirtualDeployment mWorld;
-    private final Options mPlan;
+    private final VirtualDeployment mDeployment;
+    private final Options mOptions;
     private final List<VirtualSample> mSamples = new ArrayList<>();
     private final List<Long> mIdleNanos = new ArrayList<>();
     private long mVersion = 1;
     private long mStep = -1;
     private String mCursor = "";
-    private long mToken;
-    private int mTurn;
-    private long mStepBegan;
+    private long mRequestId;
+    private int mNextTurn;
+    private long mStepStartedAt;
     private boolean mStopping;
     private boolean mStopped;
 
-    private VirtualTrainer(VirtualDeployment world, Options plan) {
-        mWorld = world;
-        mPlan = plan;
+    private VirtualTrainer(VirtualDeployment deployment, Options options) {
+        mDeployment = deployment;
+        mOptions = options;
     }
 
     /**
-     * How a trainer behaves.
+     * The options of a trainer.
      *
-     * @param trainer its name
+     * @param trainer the ID of the trainer
      * @param className the class of its steps
      * @param service the service whose weights it trains
-     * @param groups prompts in a step
-     * @param samplesPerGroup samples of each prompt
-     * @param promptTokens tokens of each prompt
-     * @param tokens gives the tokens of a group's samples, by a running number
-     * @param trainMillis time that it trains on a step, in milliseconds
-     * @param trainsWhilePulling whether it publishes a version after each answer with samples
+     * @param groups number of prompts in a step
+     * @param samplesPerGroup number of samples of each prompt
+     * @param promptTokens number of tokens of each prompt
+     * @param tokensPerSample gives the length of the samples of a group, in tokens; its argument
+     *     numbers the groups of all steps consecutively
+     * @param trainMillis training time per step, in milliseconds
+     * @param trainsWhilePulling whether it publishes a version after each response with samples
      */
     public record Options(
             TrainerId trainer,
@@ -72,37 +74,37 @@
         }
     }
 
-    /** Creates a trainer; it starts with {@link #start}. */
-    public static VirtualTrainer create(VirtualDeployment world, Options plan) {
-        return new VirtualTrainer(world, plan);
+    /** Creates a trainer; {@link #start} starts it. */
+    public static VirtualTrainer create(VirtualDeployment deployment, Options options) {
+        return new VirtualTrainer(deployment, options);
     }
 
-    /** Begins the first step. */
+    /** Starts the first step. */
     public void start() {
         nextStep();
     }
 
-    /** Lets the trainer end after the step that it is in. */
+    /** Stops the trainer after its current step. */
     public void stop() {
         mStopping = true;
     }
 
-    /** Returns whether the trainer has ended. */
+    /** Returns whether the trainer has stopped. */
     public boolean isStopped() {
         return mStopped;
     }
 
-    /** Returns how the trainer behaves. */
+    /** Returns the options of the trainer. */
     public Options options() {
-        return mPlan;
+        return mOptions;
     }
 
-    /** Returns the samples that arrived, in order. */
+    /** Returns the received samples in the order of their arrival. */
     public List<VirtualSample> samples() {
         return mSamples;
     }
 
-    /** Returns how long the trainer waited for each completed step, in nanoseconds. */
+    /** Returns the time that the trainer waited for each completed step, in nanoseconds. */
     public List<Long> idleNanos() {
         return mIdleNanos;
     }
@@ -114,62 +116,62 @@
         }
         mStep++;
         mCursor = "";
-        mStepBegan = mWorld.mClock.now();
+        mStepStartedAt = mDeployment.mClock.now();
         submit();
     }
 
     private void submit() {
         List<PromptGroup> groups = new ArrayList<>();
-        for (int group = 0; group < mPlan.groups(); group++) {
-            int number = (int) mStep * mPlan.groups() + group;
+        for (int group = 0; group < mOptions.groups(); group++) {
+            int number = (int) mStep * mOptions.groups() + group;
             String prompt =
-                    mPlan.trainer() + "/" + mStep + "/" + group + "#" + mPlan.promptTokens();
-            int tokens = mPlan.tokensPerSample().applyAsInt(number);
-            groups.add(new PromptGroup(prompt, mPlan.samplesPerGroup(), tokens));
+                    mOptions.trainer() + "/" + mStep + "/" + group + "#" + mOptions.promptTokens();
+            int tokens = mOptions.tokensPerSample().applyAsInt(number);
+            groups.add(new PromptGroup(prompt, mOptions.samplesPerGroup(), tokens));
         }
         StepManifest manifest =
-                new StepManifest(mPlan.trainer(), mStep, mPlan.className(), mVersion, groups);
-        ask(InjectionPoint.STEP_SUBMIT, new StepRequest.Submit(manifest));
+                new StepManifest(mOptions.trainer(), mStep, mOptions.className(), mVersion, groups);
+        sendRequest(InjectionPoint.STEP_SUBMIT, new StepRequest.Submit(manifest));
     }
 
     private void pull() {
-        ask(
+        sendRequest(
                 InjectionPoint.STEP_PULL,
                 new StepRequest.Pull(
-                        mPlan.trainer(),
+                        mOptions.trainer(),
                         mStep,
                         mCursor,
                         mVersion,
-                        mPlan.samplesPerStep(),
-                        WAIT_MILLIS));
+                        mOptions.samplesPerStep(),
+                        PULL_WAIT_MILLIS));
     }
 
-    private void ask(InjectionPoint step, StepRequest request) {
-        long token = ++mToken;
-        Runnable again = () -> retry(token, step, request);
-        VirtualEntry entry = mWorld.selectEntry(mTurn++).orElse(null);
+    private void sendRequest(InjectionPoint point, StepRequest request) {
+        long requestId = ++mRequestId;
+        Runnable retry = () -> retry(requestId, point, request);
+        VirtualEntry entry = mDeployment.selectEntry(mNextTurn++).orElse(null);
         if (entry == null) {
-            mWorld.mClock.schedule(RETRY_NANOS, again);
+            mDeployment.mClock.schedule(RETRY_NANOS, retry);
             return;
         }
-        mWorld.mClock.schedule(TIMEOUT_NANOS, again);
-        mWorld.mClock.schedule(
+        mDeployment.mClock.schedule(TIMEOUT_NANOS, retry);
+        mDeployment.mClock.schedule(
                 LATENCY_NANOS,
                 () ->
-                        mWorld.performWithFault(
-                                step,
-                                Participants.ofClient(entry, again),
-                                () -> send(entry, token, step, request, again)));
+                        mDeployment.performWithFault(
+                                point,
+                                Participants.ofClient(entry, retry),
+                                () -> send(entry, requestId, point, request, retry)));
     }
 
     private void send(
             VirtualEntry entry,
-            long token,
-            InjectionPoint step,
+            long requestId,
+            InjectionPoint point,
             StepRequest request,
-            Runnable again) {
+            Runnable retry) {
         if (!entry.isAlive()) {
-            mWorld.mClock.schedule(LATENCY_NANOS, again);
+            mDeployment.mClock.schedule(LATENCY_NANOS, retry);
             return;
         }
         entry.handleStepRequest(
@@ -178,37 +180,38 @@
                 reply -> {
                     Runnable deliver =
                             () ->
-                                    mWorld.mClock.schedule(
+                                    mDeployment.mClock.schedule(
                                             LATENCY_NANOS,
-                                            () -> onReply(token, step, request, reply));
+                                            () -> onReply(requestId, point, request, reply));
                     if (request instanceof StepRequest.Pull) {
-                        mWorld.performWithFault(
+                        mDeployment.performWithFault(
                                 InjectionPoint.PULL_REPLY,
-                                Participants.ofClient(entry, again),
+                                Participants.ofClient(entry, retry),
                                 deliver);
                     } else {
                         deliver.run();
                     }
                 },
-                again);
+                retry);
     }
 
-    private void retry(long token, InjectionPoint step, StepRequest request) {
-        if (token == mToken) {
-            mToken++;
-            mWorld.mClock.schedule(RETRY_NANOS, () -> ask(step, request));
+    private void retry(long requestId, InjectionPoint point, StepRequest request) {
+        if (requestId == mRequestId) {
+            mRequestId++;
+            mDeployment.mClock.schedule(RETRY_NANOS, () -> sendRequest(point, request));
         }
     }
 
-    private void onReply(long token, InjectionPoint step, StepRequest request, StepReply reply) {
-        if (token != mToken) {
+    private void onReply(
+            long requestId, InjectionPoint point, StepRequest request, StepReply reply) {
+        if (requestId != mRequestId) {
             return;
         }
         if (reply.fault() != null) {
-            retry(token, step, request);
+            retry(requestId, point, request);
             return;
         }
-        mToken++;
+        mRequestId++;
         if (request instanceof StepRequest.Submit) {
             pull();
             return;
@@ -223,25 +226,25 @@
                             sample.versions().values(),
                             mVersion));
         }
-        if (mPlan.trainsWhilePulling() && !reply.samples().isEmpty()) {
+        if (mOptions.trainsWhilePulling() && !reply.samples().isEmpty()) {
             publishNext();
         }
         mCursor = reply.cursor();
         if (reply.complete()) {
-            mIdleNanos.add(mWorld.mClock.now() - mStepBegan);
-            mWorld.mClock.schedule(Nanos.ofMillis(mPlan.trainMillis()), this::trained);
+            mIdleNanos.add(mDeployment.mClock.now() - mStepStartedAt);
+            mDeployment.mClock.schedule(Nanos.ofMillis(mOptions.trainMillis()), this::onTrained);
         } else {
             pull();
         }
     }
 
-    private void trained() {
+    private void onTrained() {
         publishNext();
         nextStep();
     }
 
     private void publishNext() {
-        mVersion = Math.max(mVersion + 1, mWorld.latestVersion(mPlan.service()) + 1);
-        mWorld.publish(mPlan.service(), mVersion);
+        mVersion = Math.max(mVersion + 1, mDeployment.latestVersion(mOptions.service()) + 1);
+        mDeployment.publish(mOptions.service(), mVersion);
     }
 }
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/fault/FaultMatrixTest.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/fault/FaultMatrixTest.java
@@ -14,45 +14,48 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Checks the guarantees of the service under injected faults, in virtual time. */
 class FaultMatrixTest {
     @Test
-    void everythingIsAnsweredWithoutFaults() {
+    void guaranteesHoldAndCallsAreAnsweredWithoutFaults() {
         FaultOutcome outcome = FaultScenario.run(1, FaultPlan.none());
         assertThat(outcome.violations(), empty());
         assertThat(outcome.answered(), greaterThan(outcome.calls() * 9 / 10));
     }
 
     @Test
-    void aRunIsAFunctionOfItsSeed() {
+    void runsWithTheSameSeedAreEqual() {
         assertThat(FaultMatrix.runPair(7), is(FaultMatrix.runPair(7)));
     }
 
     @ParameterizedTest
     @EnumSource(FaultKind.class)
-    void keepsEveryPromiseUnderEachFaultAtEachStep(FaultKind kind) {
-        List<String> broken =
+    void guaranteesHoldForEachFaultAtEachInjectionPoint(FaultKind kind) {
+        List<String> violations =
                 FaultMatrix.applicableCells().parallelStream()
                         .filter(cell -> cell.kind() == kind)
                         .flatMap(
                                 cell ->
                                         FaultMatrix.run(cell, 1).violations().stream()
-                                                .map(text -> cell + ": " + text))
+                                                .map(violation -> cell + ": " + violation))
                         .toList();
-        assertThat(broken, empty());
+        assertThat(violations, empty());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 100, 200})
-    void keepsEveryPromiseUnderPairsOfFaults(long first) {
-        List<String> broken =
-                LongStream.range(first, first + 100)
+    void guaranteesHoldForPairsOfFaults(long firstSeed) {
+        List<String> violations =
+                LongStream.range(firstSeed, firstSeed + 100)
                         .parallel()
                         .boxed()
                         .flatMap(
                                 seed ->
                                         FaultMatrix.runPair(seed).violations().stream()
-                                                .map(text -> "pair " + seed + ": " + text))
+                                                .map(
+                                                        violation ->
+                                                                "pair " + seed + ": " + violation))
                         .toList();
-        assertThat(broken, empty());
+        assertThat(violations, empty());
     }
 }
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/EntryHttpTest.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/EntryHttpTest.java
@@ -19,7 +19,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What callers do wrong at the HTTP interface gets a clear error and costs nobody else anything.
+ * Sends malformed requests to an entry over HTTP. Each gets an error with a stable code, and other
+ * callers are not affected.
  */
 @Timeout(60)
 class EntryHttpTest {
@@ -61,60 +62,60 @@
                 "POST|/v1/trainers/t/steps/99/pull|application/json|{}|404|not-found",
                 "PATCH|/v1/trainers/t/steps/1|application/json|{}|400|bad-request"
             })
-    void malformedRequestsGetAStableCode(
+    void malformedRequestsGetStableErrorCodes(
             String method, String path, String type, String body, int status, String code) {
-        HttpResponse reply =
+        HttpResponse response =
                 sFleet.send(method, path, Map.of("Content-Type", type), body).orThrow();
-        assertThat(reply.text(), containsString("\"code\":\"" + code + "\""));
-        assertThat(reply.text(), containsString("\"outcome\":\"not-run\""));
-        assertThat(reply.status(), is(status));
+        assertThat(response.text(), containsString("\"code\":\"" + code + "\""));
+        assertThat(response.text(), containsString("\"outcome\":\"not-run\""));
+        assertThat(response.status(), is(status));
     }
 
     @Test
-    void anOversizedBodyIsRefused() {
+    void oversizedBodiesAreRefused() {
         String body = "{\"prompt\":\"" + "x".repeat(70_000) + "\"}";
         assertThat(sFleet.call(body).orThrow().status(), is(413));
     }
 
     @Test
-    void badUtf8IsRefused() throws IOException {
+    void malformedUtf8IsRefused() throws IOException {
         byte[] body = {'{', '"', (byte) 0xff, '"', ':', '1', '}'};
         try (Socket socket = new Socket(LoopbackFleet.HOST, sFleet.mEntry.httpPort())) {
             OutputStream out = socket.getOutputStream();
-            out.write(head(body.length).getBytes(StandardCharsets.US_ASCII));
+            out.write(requestHead(body.length).getBytes(StandardCharsets.US_ASCII));
             out.write(body);
             out.flush();
-            assertThat(line(socket), startsWith("HTTP/1.1 400"));
+            assertThat(readLine(socket), startsWith("HTTP/1.1 400"));
         }
     }
 
     @Test
-    void slowAndHalfClosedConnectionsCostNobodyElseAnything() throws IOException {
+    void slowAndHalfClosedConnectionsDoNotAffectOtherCallers() throws IOException {
         Socket[] slow = new Socket[64];
         for (int i = 0; i < slow.length; i++) {
             slow[i] = new Socket(LoopbackFleet.HOST, sFleet.mEntry.httpPort());
             OutputStream out = slow[i].getOutputStream();
-            out.write((head(1_000) + "{").getBytes(StandardCharsets.US_ASCII));
+            out.write((requestHead(1_000) + "{").getBytes(StandardCharsets.US_ASCII));
             out.flush();
             if (i % 2 == 0) {
                 slow[i].shutdownOutput();
             }
         }
-        HttpResponse reply = sFleet.call("{\"prompt\":\"mine\",\"max_tokens\":3}").orThrow();
-        assertThat(reply.text(), containsString(":mine t0 t1 t2"));
+        HttpResponse response = sFleet.call("{\"prompt\":\"mine\",\"max_tokens\":3}").orThrow();
+        assertThat(response.text(), containsString(":mine t0 t1 t2"));
         for (Socket socket : slow) {
             socket.close();
         }
     }
 
-    private static String head(int length) {
+    private static String requestHead(int length) {
         return "POST /v1/calls/lookup HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"
                 + "Content-Length: "
                 + length
                 + "\r\n\r\n";
     }
 
-    private static String line(Socket socket) throws IOException {
+    private static String readLine(Socket socket) throws IOException {
         StringBuilder line = new StringBuilder();
         int c = socket.getInputStream().read();
         while (c >= 0 && c != '\r') {
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/LoopbackFleet.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/LoopbackFleet.java
@@ -17,7 +17,7 @@
 import org.ebonyrun.standin.engine.StandinEngine;
 import org.ebonyrun.standin.platform.StandinPlatform;
 
-/** One entry, two engines with their agents, and a platform on loopback. Used by one test. */
+/** One entry, two engines with their agents, and a stand-in of the platform, on loopback. */
 final class LoopbackFleet implements AutoCloseable {
     static final String HOST = LoopbackSettings.HOST;
 
@@ -51,14 +51,14 @@
         }
         mEntry = EntryNode.start(mSettings.entry("entry-1", DOMAIN));
         String query = "/admin/config?author=test&expect=0";
-        HttpResponse reply = send("PUT", query, Map.of(), CONFIG).orThrow();
-        if (!reply.isSuccess()) {
-            throw new IllegalStateException(reply.text());
+        HttpResponse response = send("PUT", query, Map.of(), CONFIG).orThrow();
+        if (!response.isSuccess()) {
+            throw new IllegalStateException(response.text());
         }
         awaitUsableEndpoints(2);
     }
 
-    /** Starts the agent of an engine, again after a crash. */
+    /** Starts the agent of an engine, also to restart it after a crash. */
     void startAgent(int index) throws IOException {
         String vm = "sampler-" + index;
         mAgents[index] =
@@ -75,14 +75,14 @@
                         false));
     }
 
-    /** Asks the entry for its state until it sees a number of usable endpoints. */
+    /** Waits until the entry reports the given number of usable endpoints. */
     void awaitUsableEndpoints(int count) {
-        String usable = "\"usable\":true,\"free\"";
-        int seen = -1;
-        while (seen != count) {
+        String usableMark = "\"usable\":true,\"free\"";
+        int usable = -1;
+        while (usable != count) {
             String dump =
                     send("GET", "/admin/dump", Map.of(), "").fold(HttpResponse::text, f -> "");
-            seen = dump.split(usable, -1).length - 1;
+            usable = dump.split(usableMark, -1).length - 1;
         }
     }
 
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/NodeLifecycleTest.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/NodeLifecycleTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Kills, drains and restarts nodes in the middle of streams, over real sockets. */
+/** Stops, drains and restarts agents while streams are running, over loopback sockets. */
 @Timeout(60)
 class NodeLifecycleTest {
     private static final Map<String, String> JSON = Map.of("Content-Type", "application/json");
     private static final String LONG_STREAM =
             "{\"prompt\":\"long\",\"max_tokens\":200,\"stream\":true}";
 
-    /** Collects a stream and tells when its first piece has come. */
+    /** Collects a stream. A latch opens at its first piece, a future completes at its end. */
     private static final class Stream implements HttpResponseListener {
-        private final CountDownLatch mBegun = new CountDownLatch(1);
+        private final CountDownLatch mFirstPiece = new CountDownLatch(1);
         private final CompletableFuture<String> mEnd = new CompletableFuture<>();
         private final StringBuilder mText = new StringBuilder();
 
@@ -34,7 +34,7 @@
         @Override
         public void onData(byte[] data) {
             mText.append(new String(data, StandardCharsets.UTF_8));
-            mBegun.countDown();
+            mFirstPiece.countDown();
         }
 
         @Override
@@ -49,12 +49,12 @@
     }
 
     @Test
-    void aStreamThatBreaksOffIsNeverAShortSuccess() throws Exception {
+    void anInterruptedStreamEndsWithAnErrorEvent() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet()) {
             Stream stream = new Stream();
             fleet.mHttpClient.send(
                     fleet.request("POST", "/v1/calls/lookup", JSON, LONG_STREAM), stream);
-            stream.mBegun.await();
+            stream.mFirstPiece.await();
             fleet.mAgents[0].close();
             fleet.mAgents[1].close();
             String text = stream.mEnd.join();
@@ -64,12 +64,12 @@
     }
 
     @Test
-    void aDrainingAgentFinishesItsStreamAndGetsNothingNew() throws Exception {
+    void aDrainingAgentFinishesItsStreamAndGetsNoNewWork() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet()) {
             Stream stream = new Stream();
             fleet.mHttpClient.send(
                     fleet.request("POST", "/v1/calls/lookup", JSON, LONG_STREAM), stream);
-            stream.mBegun.await();
+            stream.mFirstPiece.await();
             fleet.mAgents[0].drain();
             fleet.mAgents[1].drain();
             Result<HttpResponse> refused = fleet.call("{\"prompt\":\"late\"}");
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aStepSurvivesTheLossOfAnAgentThatHoldsItsSamples() throws Exception {
+    void aStepCompletesAfterTheLossOfAnAgentThatHoldsItsSamples() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet()) {
             String step = "/v1/trainers/t/steps/1";
             String body =
@@ -100,21 +100,21 @@
             boolean complete = false;
             while (!complete) {
                 String pull = "{\"cursor\":\"" + cursor + "\",\"version\":1,\"wait_ms\":1000}";
-                String answer = fleet.send("POST", step + "/pull", JSON, pull).orThrow().text();
-                samples += answer.split("\"slot\":", -1).length - 1;
-                cursor = answer.replaceAll("(?s).*\"cursor\":\"([^\"]*)\".*", "$1");
-                complete = answer.contains("\"complete\":true");
+                String response = fleet.send("POST", step + "/pull", JSON, pull).orThrow().text();
+                samples += response.split("\"slot\":", -1).length - 1;
+                cursor = response.replaceAll("(?s).*\"cursor\":\"([^\"]*)\".*", "$1");
+                complete = response.contains("\"complete\":true");
             }
             assertThat(samples, is(6));
         }
     }
 
     @Test
-    void configurationSurvivesAnOutageOfThePlatform() throws IOException {
+    void configurationStaysInForceDuringAnOutageOfThePlatform() throws IOException {
         try (LoopbackFleet fleet = new LoopbackFleet()) {
             fleet.mPlatform.setDown(true);
-            HttpResponse reply = fleet.call("{\"prompt\":\"on\",\"max_tokens\":2}").orThrow();
-            assertThat(reply.text(), containsString(":on t0 t1"));
+            HttpResponse response = fleet.call("{\"prompt\":\"on\",\"max_tokens\":2}").orThrow();
+            assertThat(response.text(), containsString(":on t0 t1"));
             HttpResponse refused =
                     fleet.send(
                                     "PUT",
