--- a/bin/plays.py
+++ b/bin/plays.py
@@ -1,9 +1,10 @@
-"""Runs benchmark days with several versions of this project and compares their scores.
+"""Runs benchmark days with several versions of this project and compares their worth.
 
-Shared by bin/rounds and bin/ablate. A day is a scenario of the benchmark program; its worth is the
-score that the program prints. A play is one run of a day with a seed and a version. Each version is
-run in a clone. Clones are created beside this checkout and must not be below /tmp, because the
-benchmark gives each process a private /tmp.
+Shared by bin/rounds and bin/ablate. A day is a scenario of the benchmark program, which prints
+the worth of a run in a line `worth X = whole day ...`. Only this worth is read and compared; the
+program prints a score apart from it. A play is one run of a day with a seed and a version. Each
+version is run in a clone. Clones are created beside this checkout and must not be below /tmp,
+because the benchmark gives each process a private /tmp.
 """
 
 import concurrent.futures
--- a/ebonyrun-base/src/main/java/org/ebonyrun/base/result/Fault.java
+++ b/ebonyrun-base/src/main/java/org/ebonyrun/base/result/Fault.java
@@ -47,7 +47,7 @@
         return new Fault(code, Outcome.FAILED, step, peer, detail, 0);
     }
 
-    /** Returns a copy that asks the caller to retry after {@code millis} milliseconds. */
+    /** Returns a copy with a retry delay of {@code millis} milliseconds. */
     public Fault withRetryAfterMillis(long millis) {
         return new Fault(code, outcome, step, peer, detail, millis);
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonSettings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/DaemonSettings.java
@@ -22,8 +22,8 @@
  * @param vm the VM on which the daemon runs
  * @param failureDomain the failure domain of the VM
  * @param linkListen the address on which the daemon listens for links
- * @param httpListen the address on which it listens for HTTP: from operators, and at an entry also
- *     from callers
+ * @param httpListen the address on which the daemon serves HTTP to operators and, if it is an
+ *     entry, to callers and trainers
  * @param platform the addresses of the platform's services
  * @param service the service of the endpoint; null at an entry
  * @param endpoint the address of the endpoint; null at an entry
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/LevelWriter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/LevelWriter.java
@@ -13,7 +13,7 @@
  * Writes log entries to the console, with a minimum level that can be changed at run time.
  * Configured in {@code tinylog.properties} as the writer {@code level}.
  *
- * <p>Thread safe: the level is volatile, and the console writer takes entries from any thread.
+ * <p>Thread safe: the level is volatile, and the console writer accepts entries from any thread.
  */
 public final class LevelWriter implements Writer {
     private static volatile Level sMinimumLevel = Level.INFO;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EngineAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/EngineAdapter.java
@@ -25,7 +25,7 @@
  * to load weights.
  *
  * <p>Thread safe. Each event of a stream carries the weight version of its tokens. A stream that
- * ends without its end marker is a failure. If an engine does not repeat the request ID in its
+ * ends without its end marker is a failure. If an engine does not echo the request ID in its
  * responses, each job uses a connection of its own.
  */
 public final class EngineAdapter implements EndpointAdapter {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/PlainAdapter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/agent/PlainAdapter.java
@@ -16,7 +16,7 @@
 /**
  * Client of a plain HTTP service, which has no weights.
  *
- * <p>Thread safe. If a service does not repeat the request ID in its responses, each job uses a
+ * <p>Thread safe. If a service does not echo the request ID in its responses, each job uses a
  * connection of its own.
  */
 public final class PlainAdapter implements EndpointAdapter {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
@@ -74,7 +74,7 @@
         }
         OperatorConfig config = mContext.mCurrentConfig;
         if (config.version() == 0) {
-            return refuse(FaultCode.PLATFORM_UNAVAILABLE, "no configuration is known yet");
+            return refuse(FaultCode.PLATFORM_UNAVAILABLE, "no configuration has been read yet");
         }
         String name = request.getRequestURI().substring(PREFIX.length());
         ClassSpec spec = classSpec(config, name).orElse(null);
@@ -232,8 +232,8 @@
     }
 
     /**
-     * Writes the response to one call. Called on the dispatch event loop; if the loop takes no
-     * events, {@link #onFault} is called on the submitting thread instead.
+     * Writes the response to one call. Called on the dispatch event loop; if its ring is full,
+     * {@link #onFault} is called on the submitting thread instead.
      */
     private final class HttpCallListener implements CallListener {
         private static final String EVENT_STREAM = "text/event-stream";
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigOutputHandler.java
@@ -9,7 +9,7 @@
 import org.ebonyrun.core.config.ServiceSpec;
 import org.tinylog.Logger;
 
-/** Performs the outputs of the configuration machine. Confined to its event loop. */
+/** Carries out the outputs of the configuration state machine. Confined to its event loop. */
 final class ConfigOutputHandler implements ConfigOutputs {
     private final EntryContext mContext;
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/DispatchOutputHandler.java
@@ -10,7 +10,7 @@
 import org.ebonyrun.core.routing.Work;
 import org.ebonyrun.daemon.link.PeerLink;
 
-/** Performs the outputs of the dispatcher. Confined to the dispatch event loop. */
+/** Carries out the outputs of the dispatcher. Confined to the dispatch event loop. */
 final class DispatchOutputHandler implements DispatchOutputs {
     private final EntryContext mContext;
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
@@ -149,10 +149,11 @@
     }
 
     /**
-     * Refuses new work, waits until the accepted calls and open pulls have their responses, at most
-     * for the drain time in the settings, releases its steps to other entries, and closes.
+     * Refuses new work and waits until the accepted calls and pending step requests are answered,
+     * at most for the drain time in the settings. Then hands its steps over to other entries and
+     * closes.
      *
-     * @return whether all of them had their responses in time
+     * @return whether all calls and step requests were answered in time
      */
     public boolean drainAndClose() throws InterruptedException {
         drain();
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/MembershipOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/MembershipOutputHandler.java
@@ -7,7 +7,7 @@
 import org.ebonyrun.core.membership.Peer;
 import org.ebonyrun.daemon.link.PeerLink;
 
-/** Performs the outputs of the membership machine. Confined to its event loop. */
+/** Carries out the outputs of the membership state machine. Confined to its event loop. */
 final class MembershipOutputHandler implements MembershipOutputs {
     private final EntryContext mContext;
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PendingStepRequests.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PendingStepRequests.java
@@ -21,7 +21,7 @@
  * forwarded to other entries.
  *
  * <p>Thread safe. Each request's callback is called exactly once, unless the link on which the
- * request came is lost.
+ * request arrived is lost.
  */
 final class PendingStepRequests {
     private static final long REPLY_GRACE_MILLIS = 5_000;
@@ -36,7 +36,7 @@
         mContext = context;
     }
 
-    /** A request that waits for its reply, and the link on which it came, if any. */
+    /** A request that waits for its reply, and the link on which it arrived, if any. */
     private record PendingRequest(Consumer<StepReply> callback, @Nullable Link from) {}
 
     /** A request that was forwarded to another entry. */
@@ -77,7 +77,7 @@
                 () -> timeOut(id), waitMillis + REPLY_GRACE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Completes a forwarded request if the reply comes over the link on which it was forwarded. */
+    /** Completes a forwarded request if the reply arrives on the link on which it was forwarded. */
     void completeForwarded(Link from, RolloutMessage.Forwarded forwarded) {
         ForwardedRequest target = mForwarded.get(forwarded.requestId());
         if (target != null && target.to() == from) {
@@ -116,7 +116,7 @@
 
     /**
      * Handles a lost link: fails the requests that were forwarded over it, and drops those that
-     * came on it.
+     * arrived on it.
      */
     void onLinkLost(Link link) {
         mForwarded.forEach(
@@ -138,7 +138,10 @@
                 (machine, now) -> machine.onOwnerUnreachable(request.trainer(), now));
         Fault fault =
                 Fault.unknown(
-                        FaultCode.OWNER_UNAVAILABLE, "step.forward", "", "the owner went away");
+                        FaultCode.OWNER_UNAVAILABLE,
+                        "step.forward",
+                        "",
+                        "the owner of the step is unreachable");
         complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_AFTER_MILLIS)));
     }
 
@@ -146,7 +149,11 @@
         if (mPending.containsKey(id)) {
             mContext.mRolloutLoop.post((machine, now) -> machine.cancelRequest(id));
             Fault fault =
-                    Fault.unknown(FaultCode.DEADLINE, "step.wait", "", "no reply of the owner");
+                    Fault.unknown(
+                            FaultCode.DEADLINE,
+                            "step.wait",
+                            "",
+                            "the owner of the step did not reply");
             complete(id, StepReply.failed(fault.withRetryAfterMillis(RETRY_AFTER_MILLIS)));
         }
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/PlannerOutputHandler.java
@@ -8,7 +8,7 @@
 import org.ebonyrun.core.weights.WeightPlanner;
 import org.ebonyrun.daemon.link.PeerLink;
 
-/** Performs the outputs of the weight planner. Confined to its event loop. */
+/** Carries out the outputs of the weight planner. Confined to its event loop. */
 final class PlannerOutputHandler implements PlannerOutputs {
     private final EntryContext mContext;
     private final LeaseOutputs mLeaseOutputs;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/RolloutOutputHandler.java
@@ -23,7 +23,7 @@
 import org.ebonyrun.daemon.link.PeerLink;
 import org.jspecify.annotations.Nullable;
 
-/** Performs the outputs of the rollout machine. Confined to its event loop. */
+/** Carries out the outputs of the rollout state machine. Confined to its event loop. */
 final class RolloutOutputHandler implements RolloutOutputs {
     private static final ClassName SCORING_CLASS = ClassName.of("scoring");
     private static final long SCORE_TIMEOUT_NANOS = Nanos.ofMillis(3_000);
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ConfigStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ConfigStore.java
@@ -127,10 +127,10 @@
                         result -> result.flatMap(now -> Result.err(conflict(now.config()))));
     }
 
-    private static Fault conflict(StoredConfig winner) {
+    private static Fault conflict(StoredConfig current) {
         String detail =
-                "version " + winner.version() + " by " + winner.author() + " is already in force";
-        return Fault.notRun(FaultCode.CONFLICT, STEP, winner.author(), detail);
+                "version " + current.version() + " by " + current.author() + " is already in force";
+        return Fault.notRun(FaultCode.CONFLICT, STEP, current.author(), detail);
     }
 
     private static Fault cannotRead(Fault fault) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ManifestStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/ManifestStore.java
@@ -53,8 +53,8 @@
     private record Head(@JsonProperty("hash") String hash, @JsonProperty("chunks") int chunks) {}
 
     /**
-     * Stores a manifest, which is complete once the result is successful. Fails if the step has
-     * another manifest.
+     * Stores a manifest; the manifest is completely stored once the result is successful. Fails if
+     * a different manifest is stored for the step.
      */
     public CompletableFuture<Result<Boolean>> store(StepManifest manifest) {
         byte[] packed = compress(Json.write(manifest));
@@ -154,7 +154,7 @@
                                 FaultCode.CONFLICT,
                                 "step.store",
                                 key,
-                                "the step was submitted with other prompts"));
+                                "the step was already submitted with a different manifest"));
     }
 
     private CompletableFuture<Result<Optional<StepManifest>>> loadChunks(
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/StoredConfig.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/store/StoredConfig.java
@@ -27,9 +27,9 @@
 
     /** Returns the configuration that replaces this one. */
     public StoredConfig next(String newAuthor, String newText, String nonce) {
-        List<String> kept =
+        List<String> latestNonces =
                 Stream.concat(Stream.of(nonce), nonces.stream()).limit(MAX_NONCES).toList();
-        return new StoredConfig(version + 1, newAuthor, newText, kept);
+        return new StoredConfig(version + 1, newAuthor, newText, latestNonces);
     }
 
     /** Returns the initial configuration, before the first change. */
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/AsyncHttpClient.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/AsyncHttpClient.java
@@ -150,7 +150,7 @@
     }
 
     /**
-     * Sends a request and collects the whole response.
+     * Sends a request and collects the complete response.
      *
      * @return a response with any status, or a fault that states whether the request may have been
      *     sent
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/ClientConnection.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/ClientConnection.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The client's state of one of its connections.
+ * The state of one connection of an {@link AsyncHttpClient}.
  *
  * <p>Thread safe: guarded by this object's monitor. At most one exchange is bound at a time. A
  * connection carries each request ID at most once, and no further requests after a response to
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Returns the exchange that is bound when bytes have arrived. If there is none, closes the
-     * connection, so that no exchange can be bound to it any more.
+     * Returns the exchange to which bytes that have arrived belong. If no exchange is bound, closes
+     * the connection, so that no exchange can be bound to it any more.
      */
     @Nullable HttpExchange exchangeOrClose(DroppedResponseListener listener) {
         DroppedResponse unsolicited;
@@ -182,10 +182,10 @@
 
     /** Describes bytes that arrived while no request was pending. */
     private DroppedResponse unsolicited() {
-        HttpResponseHead unread = new HttpResponseHead(0, HttpHeaders.empty(), false);
+        HttpResponseHead unparsed = new HttpResponseHead(0, HttpHeaders.empty(), false);
         long idle = Nanos.toMillis(System.nanoTime() - mIdleSince);
         ConnectionUse use = new ConnectionUse(mNumber, mRequests, idle);
-        return new DroppedResponse(mPeer, use, "", DroppedResponse.Reason.NOTHING_ASKED, unread);
+        return new DroppedResponse(mPeer, use, "", DroppedResponse.Reason.NOTHING_ASKED, unparsed);
     }
 
     /** Describes a response that does not belong to the bound request. */
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/DroppedResponse.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/DroppedResponse.java
@@ -3,12 +3,12 @@
 import java.net.InetSocketAddress;
 
 /**
- * A response, or part of one, that matches no pending request.
+ * A response, or a part of a response, that matches no pending request.
  *
- * @param peer the peer that sent it
- * @param connectionUse the use of its connection when it arrived
+ * @param peer the peer that sent the response
+ * @param connectionUse the use of the connection when the response arrived
  * @param awaitedId the ID of the request that is pending on the connection; empty if there is none
- * @param reason why it was dropped
+ * @param reason why the response was dropped
  * @param head the head of the response; its status is zero if the response was not parsed
  */
 public record DroppedResponse(
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontConnection.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontConnection.java
@@ -145,16 +145,16 @@
 
     /**
      * Makes the next response the last one on this connection. Closes the connection immediately if
-     * no request is in progress and there was no activity for {@code quietNanos}.
+     * no request is in progress and there was no activity for {@code idleNanos}.
      */
-    void drain(long now, long quietNanos) {
-        boolean quiet;
+    void drain(long now, long idleNanos) {
+        boolean idle;
         synchronized (this) {
             mClosing = true;
-            quiet = mCurrent == null && mPendingBody == null && now - mLastActiveAt >= quietNanos;
-            mIgnoresInput |= quiet;
+            idle = mCurrent == null && mPendingBody == null && now - mLastActiveAt >= idleNanos;
+            mIgnoresInput |= idle;
         }
-        if (quiet) {
+        if (idle) {
             mConnection.closeSilently();
         }
     }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontExchange.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontExchange.java
@@ -34,7 +34,7 @@
     private static final int BAD_GATEWAY = 502;
     private static final byte[] EMPTY = new byte[0];
 
-    /** A response that is produced in pieces but sent as a whole. */
+    /** A response that is produced in pieces but sent at once when it is complete. */
     private record BufferedResponse(int status, HttpHeaders headers, ByteArrayOutputStream body) {}
 
     private final HttpRequestPacket mPacket;
@@ -102,13 +102,13 @@
     /** Sends a complete response; does nothing if one was begun or the caller has disconnected. */
     public void respond(int status, HttpHeaders headers, byte[] body) {
         if (isFinal(status)) {
-            respondWhole(status, headers, body);
+            respondComplete(status, headers, body);
         } else {
-            respondWhole(BAD_GATEWAY, HttpHeaders.empty(), EMPTY);
+            respondComplete(BAD_GATEWAY, HttpHeaders.empty(), EMPTY);
         }
     }
 
-    private void respondWhole(int status, HttpHeaders headers, byte[] body) {
+    private void respondComplete(int status, HttpHeaders headers, byte[] body) {
         HttpResponsePacket response;
         synchronized (this) {
             if (mDone || isBegun()) {
@@ -176,7 +176,7 @@
         if (buffered == null) {
             write(response, EMPTY, true);
         } else {
-            respondWhole(buffered.status(), buffered.headers(), buffered.body().toByteArray());
+            respondComplete(buffered.status(), buffered.headers(), buffered.body().toByteArray());
         }
     }
 
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontServer.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/FrontServer.java
@@ -86,17 +86,17 @@
 
     /**
      * Makes the next response of each connection its last one, and closes connections without a
-     * request on which there was no activity for {@code quietNanos}.
+     * request on which there was no activity for {@code idleNanos}.
      */
-    public void drain(long now, long quietNanos) {
+    public void drain(long now, long idleNanos) {
         mDraining = true;
-        mConnections.values().forEach(connection -> connection.drain(now, quietNanos));
+        mConnections.values().forEach(connection -> connection.drain(now, idleNanos));
     }
 
     /**
      * Stops accepting requests: closes the listening socket and every connection without a request.
      * Requests that are being read or answered are completed, each as the last one on its
-     * connection. Once no such request is left, no further request can arrive.
+     * connection. Once no connection is busy, no further request can arrive.
      */
     public void stop() {
         mStopped = true;
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpResponseHead.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/HttpResponseHead.java
@@ -6,7 +6,7 @@
  * @param status the status code
  * @param headers the headers
  * @param framed whether the end of the body is indicated by a length or chunked encoding; otherwise
- *     it is the end of the connection
+ *     the body ends when the connection is closed
  */
 public record HttpResponseHead(int status, HttpHeaders headers, boolean framed) {
     /** Returns whether the status is 2xx. */
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/RequestFraming.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/RequestFraming.java
@@ -6,8 +6,8 @@
 import org.glassfish.grizzly.http.util.MimeHeaders;
 
 /**
- * Checks that every recipient of a request finds the same end of it, which prevents request
- * smuggling.
+ * Checks that every recipient of a request determines the same end of the request, which prevents
+ * request smuggling.
  *
  * <p>The codec ignores headers with an unknown name and transfer codings that it does not support,
  * and then parses the body as further requests. Such a request cannot be separated from the bytes
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/Responder.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/Responder.java
@@ -15,7 +15,7 @@
 public final class Responder {
     private final Response mResponse;
     private final NIOOutputStream mOut;
-    private boolean mStarted;
+    private boolean mBegun;
     private boolean mEnded;
 
     private Responder(Response response) {
@@ -31,10 +31,10 @@
 
     /** Sends a complete response; does nothing if one was begun. */
     public synchronized void sendWhole(int status, String contentType, byte[] body) {
-        if (mStarted || mEnded) {
+        if (mBegun || mEnded) {
             return;
         }
-        mStarted = true;
+        mBegun = true;
         mResponse.setStatus(status);
         mResponse.setContentType(contentType);
         mResponse.setContentLength(body.length);
@@ -45,15 +45,15 @@
 
     /** Sets a header; has no effect once the response was begun. */
     public synchronized void setHeader(String name, String value) {
-        if (!mStarted) {
+        if (!mBegun) {
             mResponse.setHeader(name, value);
         }
     }
 
     /** Begins a response whose body follows in parts. */
     public synchronized void begin(int status, String contentType) {
-        if (!mStarted) {
-            mStarted = true;
+        if (!mBegun) {
+            mBegun = true;
             mResponse.setStatus(status);
             mResponse.setContentType(contentType);
         }
@@ -61,7 +61,7 @@
 
     /** Returns whether the response was begun. */
     public synchronized boolean isStarted() {
-        return mStarted;
+        return mBegun;
     }
 
     /** Sends a part of the body; returns false if the caller has disconnected or is too slow. */
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/CircuitBreaker.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/CircuitBreaker.java
@@ -54,14 +54,14 @@
         return true;
     }
 
-    /** Records a call that was answered. */
+    /** Records a successful call. */
     public void onSuccess() {
         mFailures = 0;
         mProbing = false;
         mPause = MIN_PAUSE_NANOS;
     }
 
-    /** Records a call that was not answered. */
+    /** Records a failed call. */
     public void onFailure(long now) {
         checkArgument(mFailures >= 0, "failures are negative: %s", mFailures);
         boolean wasOpen = isOpen();
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/KeyValueStore.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/KeyValueStore.java
@@ -29,7 +29,7 @@
      * Writes a key if its revision is {@code expectedRevision}.
      *
      * @param expectedRevision the revision, or {@link #ABSENT}
-     * @param ttlMillis the time to live in milliseconds, or {@link #FOREVER_MILLIS}
+     * @param ttlMillis the time to live in milliseconds, or {@link #NO_EXPIRY_MILLIS}
      */
     CompletableFuture<Result<WriteOutcome>> put(
             String key, byte[] value, long expectedRevision, long ttlMillis);
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/ResilientKeyValueStore.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/kv/ResilientKeyValueStore.java
@@ -90,8 +90,8 @@
         return mRateLimit.tryAcquire(now) ? "" : "the rate limit of this process is exceeded";
     }
 
-    private synchronized void onEnd(boolean answered) {
-        if (answered) {
+    private synchronized void onEnd(boolean succeeded) {
+        if (succeeded) {
             mCircuitBreaker.onSuccess();
         } else {
             mCircuitBreaker.onFailure(mClock.nanoTime());
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/vm/VmDirectory.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/vm/VmDirectory.java
@@ -10,6 +10,6 @@
  */
 @FunctionalInterface
 public interface VmDirectory {
-    /** Reads the whole list. */
+    /** Reads the complete list. */
     CompletableFuture<Result<List<VmRecord>>> list();
 }
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/AsyncHttpClientTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/AsyncHttpClientTest.java
@@ -225,14 +225,14 @@
                                 + "Keep-Alive: timeout=0\r\n"
                                 + "Content-Length: 0\r\n\r\n");
         response.get();
-        ScriptedServer left = mServer;
+        ScriptedServer unused = mServer;
         mServer = ScriptedServer.start();
         for (int i = 0; i < 300; i++) {
             exchange("b" + i);
         }
 
         first.connection().awaitEnd();
-        left.close();
+        unused.close();
     }
 
     @Test
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontConnectionTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontConnectionTest.java
@@ -168,14 +168,14 @@
         };
     }
 
-    private static Consumer<FrontExchange> whole(int status, HttpHeaders headers) {
+    private static Consumer<FrontExchange> complete(int status, HttpHeaders headers) {
         return exchange -> exchange.respond(status, headers, bytes("pieces"));
     }
 
     private static Stream<Consumer<FrontExchange>> bodiless() {
         HttpHeaders none = HttpHeaders.empty();
         return Stream.of(204, 205, 304)
-                .flatMap(status -> Stream.of(whole(status, none), inPieces(status, none)));
+                .flatMap(status -> Stream.of(complete(status, none), inPieces(status, none)));
     }
 
     @ParameterizedTest
@@ -193,7 +193,7 @@
     void responseToHeadEndsWithItsHead() throws Exception {
         String head = "HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n";
         for (Consumer<FrontExchange> answer :
-                List.of(whole(200, HttpHeaders.empty()), inPieces(200, HttpHeaders.empty()))) {
+                List.of(complete(200, HttpHeaders.empty()), inPieces(200, HttpHeaders.empty()))) {
             String responses = responsesTo(head, answer);
 
             assertThat(responses.indexOf("\r\n\r\nHTTP/1.1 200") > 0, is(true));
@@ -253,10 +253,10 @@
         String pieces = responsesTo(FIRST, inPieces(200, headers));
         assertThat(pieces, containsString("\r\n\r\n3\r\npie\r\n3\r\nces\r\n0\r\n\r\nHTTP/1.1 200"));
 
-        String whole = responsesTo(FIRST, whole(200, headers));
-        assertThat(whole, containsString("Content-Length: 6\r\n"));
-        assertThat(whole, containsString("\r\n\r\npiecesHTTP/1.1 200"));
-        assertThat(whole, not(containsString("Transfer-Encoding")));
+        String complete = responsesTo(FIRST, complete(200, headers));
+        assertThat(complete, containsString("Content-Length: 6\r\n"));
+        assertThat(complete, containsString("\r\n\r\npiecesHTTP/1.1 200"));
+        assertThat(complete, not(containsString("Transfer-Encoding")));
     }
 
     @ParameterizedTest
@@ -264,7 +264,7 @@
     void nonFinalStatusIsReplacedByBadGateway(int status) throws Exception {
         for (Consumer<FrontExchange> answer :
                 List.of(
-                        whole(status, HttpHeaders.empty()),
+                        complete(status, HttpHeaders.empty()),
                         inPieces(status, HttpHeaders.empty()))) {
             String responses = responsesTo(FIRST, answer);
 
@@ -277,15 +277,15 @@
 
     @Test
     void tooManyWaitingRequestsCloseTheConnectionAfterPendingResponses() throws Exception {
-        int kept = 17;
-        try (Socket socket = send(FIRST.repeat(kept + 1))) {
+        int accepted = 17;
+        try (Socket socket = send(FIRST.repeat(accepted + 1))) {
             FrontExchange first = mRequests.take();
             awaitRead();
             first.respond(200, HttpHeaders.empty(), bytes("to /1"));
-            for (int i = 1; i < kept; i++) {
+            for (int i = 1; i < accepted; i++) {
                 answerNext("/1", "");
             }
-            assertThat(readAll(socket).split("to /1", -1).length - 1, is(kept));
+            assertThat(readAll(socket).split("to /1", -1).length - 1, is(accepted));
         }
         awaitRead();
     }
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontServerTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/FrontServerTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void chunkedBodyIsPassedToTheListenerAsAWhole() throws Exception {
+    void chunkedBodyIsPassedToTheListenerWhenComplete() throws Exception {
         String request =
                 "PUT /a/b?c=d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
                         + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void slowHeadersCloseTheConnectionAndRequestInProgressDoesNot() throws Exception {
+    void slowHeadersCloseTheConnectionButARequestInProgressDoesNot() throws Exception {
         try (Socket slow = send("GET / HTTP/1.1\r\nHo")) {
             awaitRead();
             Socket working = send("GET /w HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/SseEventParserTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/http/SseEventParserTest.java
@@ -50,14 +50,14 @@
 
     @Property(seed = "1", tries = 2000)
     void eventsDoNotDependOnHowTheBytesAreSplit(@ForAll byte[] bytes, @ForAll int cut) {
-        List<SseEvent> whole = new ArrayList<>();
-        SseEventParser.create(whole::add).feed(bytes);
-        List<SseEvent> parts = new ArrayList<>();
-        SseEventParser parser = SseEventParser.create(parts::add);
+        List<SseEvent> unsplit = new ArrayList<>();
+        SseEventParser.create(unsplit::add).feed(bytes);
+        List<SseEvent> split = new ArrayList<>();
+        SseEventParser parser = SseEventParser.create(split::add);
         int at = Math.floorMod(cut, bytes.length + 1);
         parser.feed(java.util.Arrays.copyOfRange(bytes, 0, at));
         parser.feed(java.util.Arrays.copyOfRange(bytes, at, bytes.length));
 
-        assertThat(parts, is(whole));
+        assertThat(split, is(unsplit));
     }
 }
--- a/ebonyrun-ports/src/test/java/org/ebonyrun/ports/kv/TokenBucketTest.java
+++ b/ebonyrun-ports/src/test/java/org/ebonyrun/ports/kv/TokenBucketTest.java
@@ -16,11 +16,11 @@
         while (bucket.tryAcquire(0)) {
             // Empties the bucket.
         }
-        int taken = 0;
+        int acquired = 0;
         while (bucket.tryAcquire(Nanos.ofMillis(millis))) {
-            taken++;
+            acquired++;
         }
-        assertThat(taken, is(expected));
+        assertThat(acquired, is(expected));
     }
 
     @Test
