--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ArchiveRun.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ArchiveRun.java
@@ -28,7 +28,7 @@
 
     private ArchiveRun() {}
 
-    /** Exits with status 0 once a step's result was listed, and with 1 if none was in time. */
+    /** Exits with status 0 once a step's result is listed, or 1 if none is listed in time. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Random random = new Random();
         StandinDeployment deployment = StandinDeployment.start(freeAddress(), freeAddress());
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
@@ -57,6 +57,8 @@
     private final Map<FrontExchange, Long> mCallIds = new HashMap<>();
     private final Map<Long, CallExchange> mAttempts = new HashMap<>();
     private final Map<Long, CallSpec> mSpecs = new HashMap<>();
+    // By call, the latest attempt that got a server error. Its exchange stays in mAttempts, since
+    // its response may still be delivered.
     private final Map<Long, Long> mErrorAttempts = new HashMap<>();
     private final Map<Long, Integer> mErrorCounts = new HashMap<>();
     private long mLastCallId;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLease.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/EntryLease.java
@@ -65,13 +65,13 @@
         return mId != 0 && now - mExpiresAt < 0;
     }
 
-    /** Passes the ID of a valid lease to {@code use}, or zero if the store grants none. */
-    void acquire(LongConsumer use, long now) {
+    /** Passes the ID of a valid lease to {@code callback}, or zero if the store grants none. */
+    void acquire(LongConsumer callback, long now) {
         if (isValid(now)) {
-            use.accept(mId);
+            callback.accept(mId);
             return;
         }
-        mWaiters.add(use);
+        mWaiters.add(callback);
         mLastNeededAt = now;
         if (!mCallPending) {
             mGrantAttempts = 0;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/FrontHandler.java
@@ -208,7 +208,7 @@
     private void endStep(FrontExchange exchange, StepId step) {
         StepStatus known = mContext.directory().get(step);
         if (known != null && known.mDone) {
-            // A finished step has no runs left to stop.
+            // A step that is done has no runs left to stop.
             mContext.log().write(LogLine.of("step.end").with("step", step).with("done", true));
             exchange.respond(OK, HttpHeaders.empty(), EMPTY_BODY);
             return;
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedContext.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedContext.java
@@ -68,7 +68,7 @@
     /**
      * Reads the newest configuration from the shared store and applies it.
      *
-     * @param then receives whether the read succeeded and a configuration is in force
+     * @param callback receives whether the read succeeded and a configuration is in force
      */
-    void refreshRoutes(Consumer<Boolean> then);
+    void refreshRoutes(Consumer<Boolean> callback);
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -265,7 +265,7 @@
     }
 
     @Override
-    public void refreshRoutes(Consumer<Boolean> then) {
+    public void refreshRoutes(Consumer<Boolean> callback) {
         mStore.get(OperatorDecoder.CONFIG_KEY)
                 .thenAcceptAsync(
                         result -> {
@@ -276,7 +276,7 @@
                                                 return true;
                                             },
                                             fault -> false);
-                            then.accept(read && mRoutes.isConfigured());
+                            callback.accept(read && mRoutes.isConfigured());
                         },
                         executor());
     }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OrderLog.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OrderLog.java
@@ -39,9 +39,9 @@
  * <p>Not thread safe; confined to the event loop behind {@code executor}.
  */
 final class OrderLog {
-    // How long after its age was taken an order may be sent. An order whose record takes longer to
-    // commit is refused. A reader subtracts this time from recorded ages, so that they are never
-    // above the true ages.
+    // The longest time between the computation of an order's age and the sending of the order. An
+    // order whose record takes longer to commit is refused. A reader subtracts this time from
+    // recorded ages, so that they are never above the true ages.
     private static final long MAX_SEND_DELAY_NANOS = Nanos.ofMillis(1_000);
     private static final String FENCE = "fence";
     private static final String OWN_AGES = "own_ms";
@@ -86,12 +86,14 @@
      * Reads the ages of orders that the previous holder has recorded.
      *
      * @param predecessor the fence of the previous holder; zero if it is unknown
-     * @param use receives the ages; empty if they are unknown or of another holder
+     * @param callback receives the ages; empty if they are unknown or of another holder
      */
-    void read(long predecessor, Consumer<Optional<OrderAges>> use) {
+    void read(long predecessor, Consumer<Optional<OrderAges>> callback) {
         mStore.get(StoreKeys.ORDERS)
                 .thenAcceptAsync(
-                        result -> use.accept(result.fold(i -> ages(i, predecessor), f -> UNKNOWN)),
+                        result ->
+                                callback.accept(
+                                        result.fold(i -> ages(i, predecessor), f -> UNKNOWN)),
                         mExecutor);
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OwnedStep.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/OwnedStep.java
@@ -11,7 +11,7 @@
     /** The revision at which this entry last wrote the step's owner key. */
     long mOwnerRevision;
 
-    /** Whether its samples run. A new step may first wait for texts of the step before it. */
+    /** Whether its samples run. A new step may first wait for texts of its predecessor. */
     boolean mRunning;
 
     /** The results that are being stored; null if there are none. */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PendingResults.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PendingResults.java
@@ -12,7 +12,7 @@
     /** The encoded results. */
     final byte[] mValue;
 
-    /** The encoded texts of unfinished samples that are stored along; may be empty. */
+    /** The encoded checkpoint that is stored with the results; empty if there is none. */
     final byte[] mCheckpoint;
 
     /** Whether these are the last results of the step. */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
@@ -33,7 +33,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes the planner role when no other entry holds it, and performs the I/O that the planner's
+ * Claims the planner role when no other entry holds it, and performs the I/O that the planner's
  * state machine requests. The role belongs to the process whose name is in the planner's key, which
  * is attached to the entry's lease. The holder also removes old finished steps from the store, and
  * reports to operators that VMs to be retired are empty.
@@ -49,11 +49,11 @@
     private static final long CLAIM_JITTER_NANOS = Nanos.ofMillis(200);
     private static final long RETRY_NANOS = Nanos.ofMillis(500);
     private static final long SWEEP_NANOS = Nanos.ofMillis(20_000);
-    private static final long KEEP_SLACK_MILLIS = 60_000;
-    // Orders are recorded only if orders of another holder may take effect for at least this time.
-    // Below it, waiting that long after a change of the holder costs trainers less than the calls
-    // that record each order.
-    private static final long MIN_RECORDED_QUIET_MILLIS = 1_000;
+    private static final long RETENTION_SLACK_MILLIS = 60_000;
+    // Orders are recorded only if orders of another holder may still take effect for at least this
+    // time. Below it, waiting that long after a change of the holder costs trainers less than the
+    // calls that record each order.
+    private static final long MIN_RECORDED_QUIET_PERIOD_MILLIS = 1_000;
 
     private final HostedContext mContext;
     private final AsyncHttpClient mHttpClient;
@@ -102,7 +102,8 @@
     }
 
     private boolean recordsOrders() {
-        return mSettings.get().limits().orderQuietPeriodMillis() >= MIN_RECORDED_QUIET_MILLIS;
+        return mSettings.get().limits().orderQuietPeriodMillis()
+                >= MIN_RECORDED_QUIET_PERIOD_MILLIS;
     }
 
     SwapMachine machine() {
@@ -168,7 +169,7 @@
         if (mContext.lease().isValid(now)) {
             mMachine.onTick(now);
             reportRetirements();
-            sweep(now);
+            deleteOldSteps(now);
         }
     }
 
@@ -221,27 +222,27 @@
             return;
         }
         if (recordsOrders()) {
-            mOrderLog.read(mLastFence, ages -> takeRole(fence, ages));
+            mOrderLog.read(mLastFence, ages -> acquireRole(fence, ages));
         } else {
-            takeRole(fence, Optional.empty());
+            acquireRole(fence, Optional.empty());
         }
     }
 
-    private void takeRole(long fence, Optional<OrderAges> ages) {
+    private void acquireRole(long fence, Optional<OrderAges> ages) {
         mClaiming = false;
         mFence = fence;
         mOrderLog.start(fence);
         long now = System.nanoTime();
-        long quiet = Nanos.ofMillis(mSettings.get().limits().orderQuietPeriodMillis());
+        long quietPeriod = Nanos.ofMillis(mSettings.get().limits().orderQuietPeriodMillis());
         if (mSameHolder) {
             // The processes of one VM count as one holder, so their orders are this holder's own.
-            mMachine.onLeaseAcquired(fence, quiet, ages.orElse(OrderAges.NONE), now);
+            mMachine.onLeaseAcquired(fence, quietPeriod, ages.orElse(OrderAges.NONE), now);
         } else if (!mHasPredecessor) {
-            mMachine.onLeaseAcquired(fence, quiet, OrderAges.NONE, now);
+            mMachine.onLeaseAcquired(fence, quietPeriod, OrderAges.NONE, now);
         } else if (ages.isPresent()) {
-            mMachine.onLeaseAcquired(fence, quiet, ages.get().asEarlier(), now);
+            mMachine.onLeaseAcquired(fence, quietPeriod, ages.get().asEarlier(), now);
         } else {
-            mMachine.onLeaseAcquired(fence, quiet, now);
+            mMachine.onLeaseAcquired(fence, quietPeriod, now);
         }
         mContext.log()
                 .write(
@@ -250,7 +251,7 @@
                                 .with("before", mLastHolder)
                                 .with("same_holder", mSameHolder)
                                 .with("known_orders", ages.map(OrderAges::size).orElse(-1))
-                                .with("quiet_ms", Nanos.toMillis(quiet)));
+                                .with("quiet_ms", Nanos.toMillis(quietPeriod)));
         if (mDraining) {
             handOver();
         }
@@ -296,7 +297,7 @@
         }
     }
 
-    private void sweep(long now) {
+    private void deleteOldSteps(long now) {
         if (now - mNextSweepAt < 0) {
             return;
         }
@@ -304,7 +305,7 @@
         long cutoff =
                 System.currentTimeMillis()
                         - mSettings.get().limits().retentionMillis()
-                        - KEEP_SLACK_MILLIS;
+                        - RETENTION_SLACK_MILLIS;
         for (StepId step : mContext.directory().finishedSteps(cutoff)) {
             mContext.log().write(LogLine.of("step.forgotten").with("step", step));
             mStepStore.delete(step);
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ProcessName.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ProcessName.java
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Returns the revision to expect when this process takes over an ownership key: {@link
+     * Returns the revision to expect when this process claims an ownership key: {@link
      * Transaction#ABSENT} if the key has no holder, the holder's revision if the holder was an
-     * earlier process of the same VM, and empty if the key may not be taken.
+     * earlier process of the same VM, and empty if the key may not be claimed.
      *
      * @param holder the value of the key; null if the key is absent
      * @param revision the revision of the key
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultReader.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultReader.java
@@ -101,8 +101,8 @@
         }
     }
 
-    private final SharedStore mShared;
-    private final StepStore mStore;
+    private final SharedStore mSharedStore;
+    private final StepStore mStepStore;
     private final Ownership mOwnership;
     private final Executor mExecutor;
     private final MonotonicClock mClock;
@@ -117,8 +117,8 @@
             Executor executor,
             MonotonicClock clock,
             EventLog log) {
-        mShared = shared;
-        mStore = new StepStore(shared);
+        mSharedStore = shared;
+        mStepStore = new StepStore(shared);
         mOwnership = ownership;
         mExecutor = executor;
         mClock = clock;
@@ -152,7 +152,8 @@
 
     private void readFromStore(Read read, CachedResults cached) {
         if (cached.mRevision == 0) {
-            mStore.loadResults(read.step())
+            mStepStore
+                    .loadResults(read.step())
                     .thenAcceptAsync(result -> onLoaded(read, result), mExecutor);
         } else {
             watch(read, cached);
@@ -191,7 +192,8 @@
 
     private void watch(Read read, CachedResults cached) {
         long wait = Math.max(1, read.waitMillis(mClock.nanoTime()));
-        mShared.watch(StoreKeys.resultsPrefix(read.step()), cached.mRevision, wait)
+        mSharedStore
+                .watch(StoreKeys.resultsPrefix(read.step()), cached.mRevision, wait)
                 .thenAcceptAsync(result -> onWatched(read, cached, result), mExecutor);
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/ResultWriter.java
@@ -27,15 +27,15 @@
 final class ResultWriter {
     private static final long RETRY_NANOS = Nanos.ofMillis(150);
     // The interval of checkpoints that need a store call of their own. If the owner is lost, a long
-    // sample generates again what it had since the last checkpoint: at most this interval and its
+    // sample has to be generated again from its last checkpoint on: at most this interval and its
     // last events.
-    private static final long CHECKPOINT_NANOS = Nanos.ofMillis(800);
+    private static final long CHECKPOINT_INTERVAL_NANOS = Nanos.ofMillis(800);
     // Shorter for checkpoints in the same transaction as results, which need no further call.
-    private static final long CHECKPOINT_WITH_RESULTS_NANOS = Nanos.ofMillis(400);
+    private static final long CHECKPOINT_WITH_RESULTS_INTERVAL_NANOS = Nanos.ofMillis(400);
     // The least number of events that a text must have to be part of a checkpoint.
-    private static final int CHECKPOINT_EVENTS = 12;
+    private static final int MIN_CHECKPOINT_EVENTS = 12;
     // A larger checkpoint is not stored.
-    private static final int CHECKPOINT_BYTES = 400_000;
+    private static final int MAX_CHECKPOINT_BYTES = 400_000;
     private static final byte[] EMPTY = new byte[0];
 
     /** Checks whether steps are still owned, and is notified when ownership ends. */
@@ -71,7 +71,7 @@
             return;
         }
         if (pending == null) {
-            storeCheckpoint(id, owned, dueCheckpoint(id, owned, CHECKPOINT_NANOS, now));
+            storeCheckpoint(id, owned, dueCheckpoint(id, owned, CHECKPOINT_INTERVAL_NANOS, now));
         } else if (!pending.mInFlight && now - pending.mRetryAt >= 0) {
             send(id, owned);
         }
@@ -83,7 +83,7 @@
         byte[] checkpoint = EMPTY;
         if (!last) {
             long now = System.nanoTime();
-            checkpoint = dueCheckpoint(id, owned, CHECKPOINT_WITH_RESULTS_NANOS, now);
+            checkpoint = dueCheckpoint(id, owned, CHECKPOINT_WITH_RESULTS_INTERVAL_NANOS, now);
         }
         owned.mPending = new PendingResults(position, StepCodec.results(results), checkpoint, last);
         send(id, owned);
@@ -95,13 +95,13 @@
             return EMPTY;
         }
         owned.mLastCheckpointAt = now;
-        return encode(id, mMachine.checkpoints(id, CHECKPOINT_EVENTS));
+        return encode(id, mMachine.checkpoints(id, MIN_CHECKPOINT_EVENTS));
     }
 
     /** Encodes a checkpoint; returns an empty array if it has no texts or is too large. */
     private byte[] encode(StepId id, List<SampleCheckpoint> checkpoints) {
         byte[] checkpoint = checkpoints.isEmpty() ? EMPTY : StepCodec.checkpoint(checkpoints);
-        if (checkpoint.length > CHECKPOINT_BYTES) {
+        if (checkpoint.length > MAX_CHECKPOINT_BYTES) {
             logCheckpointNotStored(id, "checkpoint too large: " + checkpoint.length + " bytes");
             return EMPTY;
         }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleController.java
@@ -33,7 +33,7 @@
  * <p>Not thread safe; confined to the entry's event loop.
  */
 final class SampleController implements StepOutputs, SampleExchange.Listener {
-    // A call that scores a sample times out after this multiple of the latency goal of its route.
+    // A call that scores a sample times out after this multiple of its route's target latency.
     private static final long SCORE_TIMEOUT_FACTOR = 4;
 
     private final HostedContext mContext;
@@ -169,9 +169,9 @@
         mCalls.onScoreCall(
                 call,
                 score,
-                (outcome, text, errors) ->
+                (outcome, scoreText, errors) ->
                         mMachine.onScoreEnd(
-                                run, outcome, text, errors, maxAttempts, System.nanoTime()),
+                                run, outcome, scoreText, errors, maxAttempts, System.nanoTime()),
                 now);
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/SampleExchange.java
@@ -18,7 +18,7 @@
 final class SampleExchange extends EndpointExchange {
     /** Receives the progress of the run on the entry's event loop. */
     interface Listener {
-        /** Called when the stream starts. */
+        /** Called when the stream starts, with the weight version with which it begins. */
         void onStreamStart(long run, int version);
 
         /** Called with the events that have arrived since the last call. */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepCodec.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepCodec.java
@@ -10,8 +10,8 @@
 import org.ebonyrun.core.step.SampleResult;
 
 /**
- * Encodes and decodes the values that the shared store has of a step, as JSON. Stateless and thread
- * safe. Decoders throw {@link IllegalArgumentException} if a value is malformed.
+ * Encodes and decodes the values of a step in the shared store as JSON. Stateless and thread safe.
+ * Decoders throw {@link IllegalArgumentException} if a value is malformed.
  */
 final class StepCodec {
     private StepCodec() {}
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepDirectory.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepDirectory.java
@@ -12,8 +12,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The steps in the shared store and their owners, and the holder of the weight planner, as last
- * seen by the watch on the live keys.
+ * The steps in the shared store and their owners, and the holder of the planner role, as last seen
+ * by the watch on the live keys.
  *
  * <p>Not thread safe; confined to the entry's event loop.
  */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
@@ -37,8 +37,8 @@
  * Manages the steps that this entry owns: accepts new steps, claims steps whose owner is gone, and
  * hands steps over when the entry stops.
  *
- * <p>Ownership is a key in the shared store that is bound to the entry's lease and holds the name
- * of the owner process. Every write of results is fenced by the revision of that key.
+ * <p>Ownership is a key in the shared store that is attached to the entry's lease and holds the
+ * name of the owner process. Every write of results is fenced by the revision of that key.
  *
  * <p>Invariant: a step counts as owned here only if the store has, or had, an owner key that this
  * process wrote. Two processes may both count a step as owned for a while, but the fence lets only
@@ -53,7 +53,7 @@
     private static final long CLAIM_BASE_NANOS = Nanos.ofMillis(20);
     private static final long CLAIM_PER_STEP_NANOS = Nanos.ofMillis(60);
     private static final long CLAIM_JITTER_NANOS = Nanos.ofMillis(40);
-    // How long a new step waits for the texts of the step before it to be loaded.
+    // How long a new step waits for the texts of its predecessor to be loaded.
     private static final long CARRY_WAIT_NANOS = Nanos.ofMillis(150);
 
     private final HostedContext mContext;
@@ -209,7 +209,7 @@
                         mContext.executor());
     }
 
-    /** Begins to own an accepted step, which first waits for texts of an unfinished predecessor. */
+    /** Begins to own an accepted step, which first waits for texts of an incomplete predecessor. */
     private void begin(StepSpec spec, StepManifest manifest, Route route, long revision) {
         mContext.metrics().count(EntryMetrics.STEPS, "accepted");
         mContext.log()
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepReader.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepReader.java
@@ -52,8 +52,8 @@
     }
 
     private final HostedContext mContext;
-    private final SharedStore mShared;
-    private final StepStore mStore;
+    private final SharedStore mSharedStore;
+    private final StepStore mStepStore;
     private final ReadResponder mResponder;
     private final ResultReader mResults;
     private final Map<StepId, StepSpec> mSubmissions = newLruMap(MAX_SUBMISSIONS);
@@ -62,15 +62,19 @@
             HostedContext context,
             SharedStore shared,
             StepStore store,
-            ResultReader.Ownership owner,
+            ResultReader.Ownership ownership,
             ReadResponder responder) {
         mContext = context;
-        mShared = shared;
-        mStore = store;
+        mSharedStore = shared;
+        mStepStore = store;
         mResponder = responder;
         mResults =
                 new ResultReader(
-                        shared, owner, context.executor(), MonotonicClock.system(), context.log());
+                        shared,
+                        ownership,
+                        context.executor(),
+                        MonotonicClock.system(),
+                        context.log());
     }
 
     /** Creates a map that evicts the least recently used step above a number of entries. */
@@ -160,15 +164,16 @@
         mResponder.sendNotFound(to, "sample " + sample);
     }
 
-    /** Passes {@code use} the submission of a step, or the fault for which it can't be read. */
+    /** Passes {@code callback} a step's submission, or the fault that prevented reading it. */
     private void withSubmission(
-            StepId step, StepManifest manifest, BiConsumer<StepSpec, @Nullable Fault> use) {
+            StepId step, StepManifest manifest, BiConsumer<StepSpec, @Nullable Fault> callback) {
         StepSpec cached = mSubmissions.get(step);
         if (cached != null) {
-            use.accept(cached, null);
+            callback.accept(cached, null);
             return;
         }
-        mStore.load(step)
+        mStepStore
+                .load(step)
                 .thenAcceptAsync(
                         result -> {
                             Result<StepSpec> spec =
@@ -176,11 +181,11 @@
                             spec.fold(
                                     value -> {
                                         mSubmissions.put(step, value);
-                                        use.accept(value, null);
+                                        callback.accept(value, null);
                                         return value;
                                     },
                                     fault -> {
-                                        use.accept(null, fault);
+                                        callback.accept(null, fault);
                                         return null;
                                     });
                         },
@@ -202,22 +207,24 @@
         mSubmissions.put(spec.id(), spec);
     }
 
-    /** Passes {@code use} the manifest of a step; responds to the read if it is missing. */
-    void withManifest(StepId step, FrontExchange to, Consumer<StepManifest> use) {
+    /** Passes {@code callback} the manifest of a step; responds to the read if it is missing. */
+    void withManifest(StepId step, FrontExchange to, Consumer<StepManifest> callback) {
         StepStatus status = mContext.directory().get(step);
         StepManifest manifest = status == null ? null : status.mManifest;
         if (manifest != null) {
-            use.accept(manifest);
+            callback.accept(manifest);
             return;
         }
-        mShared.get(StoreKeys.liveKey(step, StoreKeys.MANIFEST))
-                .thenAcceptAsync(result -> onManifest(step, to, use, result), mContext.executor());
+        mSharedStore
+                .get(StoreKeys.liveKey(step, StoreKeys.MANIFEST))
+                .thenAcceptAsync(
+                        result -> onManifest(step, to, callback, result), mContext.executor());
     }
 
     private void onManifest(
             StepId step,
             FrontExchange to,
-            Consumer<StepManifest> use,
+            Consumer<StepManifest> callback,
             Result<Optional<StoreItem>> result) {
         result.fold(
                 item -> {
@@ -226,7 +233,7 @@
                         return item;
                     }
                     try {
-                        use.accept(StepCodec.manifest(item.get().value()));
+                        callback.accept(StepCodec.manifest(item.get().value()));
                     } catch (IllegalArgumentException e) {
                         mContext.log()
                                 .write(
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepStore.java
@@ -43,7 +43,7 @@
      * Stores a new step and its owner, if the step was not accepted before.
      *
      * @param owner the name of the owner process
-     * @param lease the lease to which the owner key is bound
+     * @param lease the lease to which the owner key is attached
      */
     CompletableFuture<Result<CommitResult>> accept(
             StepId id, StepManifest manifest, byte[] submission, String owner, long lease) {
@@ -94,11 +94,11 @@
     }
 
     /**
-     * Claims a step that was neither ended nor is done.
+     * Claims a step unless it was ended or is done.
      *
      * @param ownerRevision the revision of the owner key to replace, or {@link Transaction#ABSENT}
      * @param owner the name of the new owner process
-     * @param lease the lease to which the owner key is bound
+     * @param lease the lease to which the owner key is attached
      */
     CompletableFuture<Result<CommitResult>> claim(
             StepId id, long ownerRevision, String owner, long lease) {
@@ -179,7 +179,7 @@
     }
 
     /**
-     * Removes every key of a step, data keys first. If a call fails, the keys that are left stay; a
+     * Removes every key of a step, data keys first. If a call fails, the remaining keys stay; a
      * repeated call removes them.
      */
     CompletableFuture<Result<Void>> delete(StepId id) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreKeys.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreKeys.java
@@ -14,16 +14,16 @@
     /** The prefix of the live keys. */
     static final String LIVE_PREFIX = "ebonyrun/live/";
 
-    /** The key of the process that runs the weight planner. */
+    /** The key of the process that holds the planner role. */
     static final String PLANNER = LIVE_PREFIX + "planner";
 
-    /** The key of the times of the planner's orders; read only by the planner's next holder. */
+    /** The key of the ages of the planner's orders; read only by the role's next holder. */
     static final String ORDERS = "ebonyrun/planner/orders";
 
     /** The part of a live key under which the {@link StepManifest} is stored. */
     static final String MANIFEST = "manifest";
 
-    /** The part of a live key under which the owner's process name is stored, with its lease. */
+    /** The part of a live key that holds the owner's process name; attached to its lease. */
     static final String OWNER = "owner";
 
     /** The part of a live key that marks a step as ended by its trainer. */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreWatch.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoreWatch.java
@@ -49,7 +49,7 @@
         /** Called for each change. */
         void onChange(StoreChange change);
 
-        /** Called when a call succeeded, before what it returned is passed on. */
+        /** Called when a call has succeeded, before the snapshot or changes that it returned. */
         void onResponse();
 
         /** Called when a call failed. */
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoredStep.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StoredStep.java
@@ -10,7 +10,7 @@
  * @param submission the body of the submission, as it was received
  * @param results the listed results in the order of their positions
  * @param checkpoints the texts of unfinished samples, as an owner last stored them
- * @param revision the store revision at which the first page of this was read
+ * @param revision the store revision at which the first page of the data was read
  */
 record StoredStep(
         byte[] submission,
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/WatchTimings.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/WatchTimings.java
@@ -11,13 +11,13 @@
 final class WatchTimings {
     // A watch whose connection went silent has to time out this long before the limit: the slack of
     // the store client's timeout, and the time of a new call.
-    private static final long CONTACT_SLACK_MILLIS = 800;
+    private static final long CATCH_UP_SLACK_MILLIS = 800;
     private static final long MIN_WAIT_MILLIS = 500;
     // The fractions of the limits for which changes are batched. The rest is for the call that
     // returns them and for what is already in flight.
     private static final double CONFIG_FRACTION = 0.35;
     private static final double LEAVING_FRACTION = 0.6;
-    // An entry that owns steps sends samples to endpoints, so it has to learn of an endpoint's new
+    // An entry that owns steps sends samples to endpoints, so it has to receive an endpoint's new
     // weight version within this time.
     private static final long VERSIONS_BATCH_MILLIS = 1_200;
     // Shorter than the time between two steps of a trainer.
@@ -57,7 +57,7 @@
     }
 
     private static StoreWatch.Timing timing(EntryLimits limits, long batchMillis) {
-        long wait = Math.max(MIN_WAIT_MILLIS, limits.catchUpMillis() - CONTACT_SLACK_MILLIS);
+        long wait = Math.max(MIN_WAIT_MILLIS, limits.catchUpMillis() - CATCH_UP_SLACK_MILLIS);
         return new StoreWatch.Timing(wait, Nanos.ofMillis(batchMillis));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseFixture.java
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Waits for the response to a call. Releases the responses that the endpoint holds back once
-     * the entry had time to send the call a second time.
+     * Waits for the response to a call. Releases the responses that the endpoint delays once the
+     * entry had time to send the call a second time.
      */
     HttpResponse awaitResponse(CompletableFuture<HttpResponse> response, String id) {
         pollUntil(RETRY_POLLS, () -> response.isDone() || mEndpoint.runs(id).size() > 1);
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Checks that a text has every event and that each of its parts starts at the event from which
-     * the endpoint was asked to continue.
+     * Checks that a text has every event, and that each of its parts starts after the last event
+     * that the request of its run names.
      */
     static void checkText(JsonNode result, int events, List<ReceivedRequest> received) {
         String sample = result.path("id").asText();
@@ -142,13 +142,13 @@
             assertThat(why, event.number(), is(i + 1));
             if (!event.runId().equals(run)) {
                 run = event.runId();
-                assertThat(why + ", run " + run, firstEvent(run, received), is(i));
+                assertThat(why + ", run " + run, lastEventBefore(run, received), is(i));
             }
         }
     }
 
-    /** Returns the event after which a run was asked to continue. */
-    private static int firstEvent(String run, List<ReceivedRequest> received) {
+    /** Returns the last event that the request of a run names; the run continues after it. */
+    private static int lastEventBefore(String run, List<ReceivedRequest> received) {
         return received.stream()
                 .filter(r -> r.runId().equals(run))
                 .mapToInt(r -> r.request().lastEvent())
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseSoakTest.java
@@ -35,7 +35,7 @@
  * Runs calls and steps in a seeded order while two endpoints send duplicate and delayed responses
  * of all kinds, and compares what callers and trainers received with what the endpoints did.
  *
- * <p>Guards against a response that is taken for the response to another request.
+ * <p>Guards against a response that is mistaken for the response to another request.
  */
 class DuplicateResponseSoakTest extends DuplicateResponseFixture {
     /** The system property for the number of seeds to run. */
@@ -65,7 +65,10 @@
 
     /** A call that was sent. */
     private record Call(
-            String id, boolean onceOnly, String body, CompletableFuture<HttpResponse> response) {}
+            String id,
+            boolean nonIdempotent,
+            String body,
+            CompletableFuture<HttpResponse> response) {}
 
     /** A step that was submitted. */
     private record Step(String id, List<String> samples, boolean scored) {}
@@ -144,20 +147,23 @@
         return mRandom.nextBoolean() ? mFirstFront : mSecondFront;
     }
 
-    private void call(String id, boolean onceOnly) {
+    private void call(String id, boolean nonIdempotent) {
         String body = "body of " + id;
-        String path = onceOnly ? mDeployment.nonIdempotentCallPath() : mDeployment.callPath();
+        String path = nonIdempotent ? mDeployment.nonIdempotentCallPath() : mDeployment.callPath();
         Call call =
                 new Call(
-                        id, onceOnly, body, sendAsync(anyFront(), path, id, body, DEADLINE_MILLIS));
+                        id,
+                        nonIdempotent,
+                        body,
+                        sendAsync(anyFront(), path, id, body, DEADLINE_MILLIS));
         mCalls.add(call);
         mOpenCalls.add(call);
     }
 
     /**
-     * Sends a call that gets one response. Like any request, it counts for responses that are held
-     * back for a number of requests; every {@link #POLLS_TO_RELEASE} polls, all held ones are
-     * released.
+     * Sends a call that gets one response. Like any request, it counts towards the number of
+     * requests for which the endpoints delay a response. Every {@link #POLLS_TO_RELEASE} polls, all
+     * delayed responses are released.
      */
     private void poll() {
         String id = SINGLE_RESPONSE_PREFIX + "-" + ++mPolls;
@@ -278,18 +284,18 @@
     private void check(String why, Call call) {
         HttpResponse response = call.response().join();
         List<Integer> statuses = runStatuses(call.id());
-        String full = why + " answered " + response.status() + ", runs " + runs(call.id());
-        assertThat(full, response.status(), is(in(STATUSES)));
-        if (call.onceOnly()) {
-            assertThat(full, statuses.size(), is(lessThanOrEqualTo(1)));
+        String description = why + " answered " + response.status() + ", runs " + runs(call.id());
+        assertThat(description, response.status(), is(in(STATUSES)));
+        if (call.nonIdempotent()) {
+            assertThat(description, statuses.size(), is(lessThanOrEqualTo(1)));
         }
         switch (response.status()) {
             case 200 -> {
-                assertThat(full, response.text(), is(call.body()));
-                assertThat(full, statuses, hasItem(200));
+                assertThat(description, response.text(), is(call.body()));
+                assertThat(description, statuses, hasItem(200));
             }
-            case 503 -> assertThat(full, statuses, is(List.of()));
-            case 422, 500 -> assertThat(full, statuses, hasItem(response.status()));
+            case 503 -> assertThat(description, statuses, is(List.of()));
+            case 422, 500 -> assertThat(description, statuses, hasItem(response.status()));
             default -> {
                 // After 502 or 504 the call may or may not have run.
             }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/DuplicateResponseTest.java
@@ -24,7 +24,7 @@
 /**
  * Checks what callers and trainers receive if an endpoint sends duplicate or delayed responses. A
  * duplicate may reach the entry when the connection already carries a later request, and must not
- * be taken for the response to that request.
+ * be mistaken for the response to that request.
  */
 class DuplicateResponseTest extends DuplicateResponseFixture {
     // Enough polls for the planner, which retries an order after a fraction of a second.
@@ -34,8 +34,8 @@
     private static final int SHORT_CALLS = 5;
     private static final Plan RUN = Plan.of(Reply.RUN);
     private static final Plan DUPLICATED = RUN.withRepeat(Repeat.LATE);
-    // Responds behind a duplicate so late that an entry which took the duplicate for this response
-    // has already acted on it.
+    // Delays the response behind a duplicate until an entry that mistakes the duplicate for this
+    // response has acted on it.
     private static final Plan DELAYED =
             RUN.withHold(Hold.BEHIND_ANOTHER, FaultInjector.UNTIL_RELEASED);
 
@@ -71,7 +71,7 @@
                                     deadlineMillis),
                             id);
             int runs = mEndpoint.runs(id).size();
-            // Releases what is held back, so that each call gets only its own rejection.
+            // Releases delayed responses, so that each call gets only its own rejection.
             mEndpoint.release();
 
             assertThat("runs of " + id, runs, is(lessThanOrEqualTo(1)));
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedEntryTest.java
@@ -191,7 +191,7 @@
         mDeployment.withdrawConfiguration();
         mFirstFront = formatAddress(freeAddress());
         mFirstEntry = startEntry("edge-1", mFirstFront);
-        // Returns as soon as the entry has taken the step over from its VM's previous process.
+        // Returns as soon as the entry has claimed the step of its VM's previous process.
         sendUntil(
                 response -> response.text().contains("taken"),
                 mMetricsAddress,
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedFixture.java
@@ -75,7 +75,7 @@
         mDeployment.close();
     }
 
-    /** Restarts both entries with one mechanism switched off. */
+    /** Restarts both entries with one mechanism disabled. */
     void restartWithout(Mechanism mechanism) throws IOException {
         mFirstEntry.close();
         mSecondEntry.close();
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSettingsTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSettingsTest.java
@@ -54,7 +54,7 @@
 
     @ParameterizedTest
     @EnumSource(Mechanism.class)
-    void mechanismIsEnabledUnlessSwitchedOff(Mechanism mechanism) {
+    void mechanismIsEnabledUnlessDisabled(Mechanism mechanism) {
         String off = COMPLETE_SETTINGS + "\npolicy: {" + mechanism.settingKey() + ": false}";
         HostedSettings.Parsed parsed = HostedSettings.parse("f", off);
         HostedSettings all = HostedSettings.parse("f", COMPLETE_SETTINGS).settings();
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/HostedSoakTest.java
@@ -88,7 +88,7 @@
             checkSamples(scenario, other, ended ? 0 : 1);
             // Results whose storing was in progress when the step ended may be listed later.
             assertThat(scenario, other, ended ? startsWith(listed) : is(listed));
-            // Results that one entry has returned, the other one returns too.
+            // An entry returns every result that the other one has returned before.
             assertThat(scenario, listed(mFirstFront, step), startsWith(other));
             call();
         }
@@ -182,7 +182,7 @@
         String key = StoreKeys.liveKey(StepId.of(step), StoreKeys.OWNER);
         StandinStore.Entry owner = mDeployment.platform().store().get(key);
         if (owner == null) {
-            // The owner has crashed before, or the step is over.
+            // The owner has crashed before, or the step is finished.
             return;
         }
         String name = new String(Base64.getDecoder().decode(owner.value()), StandardCharsets.UTF_8);
@@ -226,15 +226,15 @@
         return results.toString();
     }
 
-    /** Checks that each sample is listed once, or {@code atLeast} times, with its whole text. */
-    private void checkSamples(String scenario, String listed, int atLeast) {
+    /** Checks that each sample is listed {@code minCount} times or once, with its complete text. */
+    private void checkSamples(String scenario, String listed, int minCount) {
         for (int i = 1; i <= mDeployment.samplesPerStep(); i++) {
             String sample = "sample-" + i;
             String text =
                     StandinEndpoint.completeText(sample, mDeployment.eventsPerSample())
                             .replace("\n", "\\n");
             int count = count(listed, "\"id\":\"" + sample + "\"");
-            assertThat(scenario + ": " + listed, count, anyOf(is(atLeast), is(1)));
+            assertThat(scenario + ": " + listed, count, anyOf(is(minCount), is(1)));
             assertThat(
                     scenario + ": " + listed,
                     count(listed, "\"text\":\"" + text + "\""),
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/OrderLogTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/OrderLogTest.java
@@ -27,12 +27,12 @@
     private static final long FENCE = 7;
     private static final OrderAges AGES =
             new OrderAges(Map.of("e1", Nanos.ofMillis(5)), Map.of("e2", Nanos.ofMillis(1_900)));
-    // An order may be sent up to a second after its age was taken, so 1,000 ms are subtracted from
-    // each recorded age.
+    // An order may be sent up to a second after its age was computed, so 1,000 ms are subtracted
+    // from each recorded age.
     private static final OrderAges AGES_READ =
             new OrderAges(Map.of("e1", Nanos.ofMillis(-995)), Map.of("e2", Nanos.ofMillis(900)));
 
-    /** A store that keeps all transactions, and completes commits when the test does so. */
+    /** A store that records all transactions, and completes commits when the test does so. */
     private static final class FakeStore extends StubStore {
         final List<CompletableFuture<Result<CommitResult>>> mCommits = new ArrayList<>();
         final List<Transaction> mTransactions = new ArrayList<>();
@@ -57,7 +57,7 @@
     private final FakeStore mStore = new FakeStore();
     private final List<String> mEvents = new ArrayList<>();
     private long mNow;
-    private final OrderLog mOrders =
+    private final OrderLog mOrderLog =
             new OrderLog(
                     mStore,
                     Runnable::run,
@@ -66,8 +66,8 @@
                     now -> Optional.of(AGES),
                     why -> mEvents.add("lost"));
 
-    private void note(String order) {
-        mOrders.recordThenSend(
+    private void recordThenSend(String order) {
+        mOrderLog.recordThenSend(
                 () -> mEvents.add("send " + order), () -> mEvents.add("refuse " + order));
     }
 
@@ -77,8 +77,8 @@
 
     @Test
     void orderIsSentAfterItWasRecordedUnderTheHoldersKey() {
-        mOrders.start(FENCE);
-        note("a");
+        mOrderLog.start(FENCE);
+        recordThenSend("a");
         assertThat(mEvents, is(empty()));
         Transaction.Expectation expected = mStore.mTransactions.get(0).expectations().get(0);
         assertThat(expected, is(new Transaction.Expectation(StoreKeys.PLANNER, FENCE)));
@@ -89,10 +89,10 @@
 
     @Test
     void ordersDuringAnOpenCommitShareTheNextOne() {
-        mOrders.start(FENCE);
-        note("a");
-        note("b");
-        note("c");
+        mOrderLog.start(FENCE);
+        recordThenSend("a");
+        recordThenSend("b");
+        recordThenSend("c");
         completeCommit(0, CommitOutcome.COMMITTED);
         completeCommit(1, CommitOutcome.COMMITTED);
 
@@ -102,8 +102,8 @@
 
     @Test
     void holderThatLostItsKeySendsNoOrder() {
-        mOrders.start(FENCE);
-        note("a");
+        mOrderLog.start(FENCE);
+        recordThenSend("a");
         completeCommit(0, CommitOutcome.CONFLICT);
 
         assertThat(mEvents, contains("refuse a", "lost"));
@@ -111,11 +111,11 @@
 
     @Test
     void orderIsRefusedIfItsRecordFailedOrWasLate() {
-        mOrders.start(FENCE);
-        note("a");
+        mOrderLog.start(FENCE);
+        recordThenSend("a");
         Fault fault = Fault.unknown(FaultCode.PLATFORM_UNAVAILABLE, "test", "", "no answer");
         mStore.mCommits.get(0).complete(Result.err(fault));
-        note("b");
+        recordThenSend("b");
         mNow += Nanos.ofMillis(1_500);
         completeCommit(1, CommitOutcome.COMMITTED);
 
@@ -124,13 +124,13 @@
 
     @Test
     void nextHolderReadsTheAgesOfItsPredecessor() {
-        mOrders.start(FENCE);
+        mOrderLog.start(FENCE);
         List<Optional<OrderAges>> read = new ArrayList<>();
-        mOrders.read(0, read::add);
-        note("a");
-        mOrders.read(0, read::add);
-        mOrders.read(FENCE, read::add);
-        mOrders.read(FENCE + 1, read::add);
+        mOrderLog.read(0, read::add);
+        recordThenSend("a");
+        mOrderLog.read(0, read::add);
+        mOrderLog.read(FENCE, read::add);
+        mOrderLog.read(FENCE + 1, read::add);
 
         assertThat(
                 read,
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ProcessNameTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ProcessNameTest.java
@@ -25,7 +25,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"edge-1/abc", "edge-11/def", "edge-2/abc", "", "edge-1"})
-    void doesNotTakeAKeyOfThisProcessOrOfAnotherVm(String holder) {
+    void doesNotClaimAKeyOfThisProcessOrOfAnotherVm(String holder) {
         assertThat(SELF.expectedRevision(holder, 42), is(OptionalLong.empty()));
     }
 }
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultReaderTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultReaderTest.java
@@ -31,7 +31,7 @@
  * of all events is drawn from a seed.
  *
  * <p>Guards against a reader that returns no results at a position where another reader has already
- * returned some, for instance because it took a part of the changes for all of them.
+ * returned some, for instance because it mistook a part of the changes for all of them.
  */
 class ResultReaderTest {
     private static final StepId STEP = StepId.of("step");
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/ResultWriterTest.java
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public void refreshRoutes(Consumer<Boolean> then) {
+        public void refreshRoutes(Consumer<Boolean> callback) {
             throw new UnsupportedOperationException("refreshRoutes");
         }
     }
@@ -120,7 +120,7 @@
                 SampleSpec sample,
                 Endpoint endpoint,
                 int lastEvent,
-                RunOptions terms) {}
+                RunOptions options) {}
 
         @Override
         public void cancelRun(long run, String reason) {}
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/WatchTimingsTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/WatchTimingsTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class WatchTimingsTest {
-    private static EntryLimits limits(long config, long leaving, long contact) {
-        return new EntryLimits(3_000, 8_000, 120_000, config, leaving, contact);
+    private static EntryLimits limits(long config, long leaving, long catchUp) {
+        return new EntryLimits(3_000, 8_000, 120_000, config, leaving, catchUp);
     }
 
     @ParameterizedTest
     @CsvSource({"2000, 2000, 3000", "3000, 3000, 4000", "14000, 5000, 9000", "800, 700, 1000"})
-    void changesAreReceivedWithinTheLimits(long config, long leaving, long contact) {
-        EntryLimits limits = limits(config, leaving, contact);
+    void changesAreReceivedWithinTheLimits(long config, long leaving, long catchUp) {
+        EntryLimits limits = limits(config, leaving, catchUp);
 
         assertThat(batchMillis(WatchTimings.forOperatorKeys(limits, true)), lessThan(config / 2));
         assertThat(batchMillis(WatchTimings.forOperatorKeys(limits, false)), is(0L));
@@ -27,7 +27,7 @@
         assertThat(
                 batchMillis(WatchTimings.forEndpointKeys(limits, false)),
                 lessThan(leaving * 3 / 4));
-        assertThat(WatchTimings.forStepKeys(limits, false).waitMillis(), lessThan(contact));
+        assertThat(WatchTimings.forStepKeys(limits, false).waitMillis(), lessThan(catchUp));
     }
 
     @ParameterizedTest
