--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminHandlers.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/admin/AdminHandlers.java
@@ -25,7 +25,7 @@
         handlers.put("/ready", asyncHandler((request, out) -> ready(node, out)));
         handlers.put(
                 "/metrics",
-                asyncHandler((request, out) -> out.sendWhole(200, TEXT, node.metrics())));
+                asyncHandler((request, out) -> out.sendComplete(200, TEXT, node.metrics())));
         return handlers;
     }
 
@@ -46,7 +46,7 @@
                     handler.handle(request, out);
                 } catch (RuntimeException e) {
                     Logger.error(e, "path={} failed", request.getRequestURI());
-                    out.sendWhole(500, JSON, Json.write(Map.of("error", "internal")));
+                    out.sendComplete(500, JSON, Json.write(Map.of("error", "internal")));
                 }
             }
         };
@@ -57,40 +57,40 @@
                 .whenComplete(
                         (state, error) -> {
                             if (error == null) {
-                                out.sendWhole(200, JSON, Json.write(state));
+                                out.sendComplete(200, JSON, Json.write(state));
                             } else {
-                                out.sendWhole(503, JSON, Json.write(Map.of("error", "busy")));
+                                out.sendComplete(503, JSON, Json.write(Map.of("error", "busy")));
                             }
                         });
     }
 
     private static void drain(ManagedNode node, Request request, Responder out) {
         if (!request.getMethod().getMethodString().equals("POST")) {
-            out.sendWhole(405, JSON, Json.write(Map.of("error", "use POST")));
+            out.sendComplete(405, JSON, Json.write(Map.of("error", "use POST")));
             return;
         }
         node.drain();
-        out.sendWhole(202, JSON, Json.write(Map.of("draining", true)));
+        out.sendComplete(202, JSON, Json.write(Map.of("draining", true)));
     }
 
     private static void logLevel(Request request, Responder out) {
         String level = request.getParameter("level");
         boolean post = request.getMethod().getMethodString().equals("POST");
         if (!post || level == null) {
-            out.sendWhole(400, JSON, Json.write(Map.of("error", "POST with ?level=debug")));
+            out.sendComplete(400, JSON, Json.write(Map.of("error", "POST with ?level=debug")));
             return;
         }
         try {
             LevelWriter.setLevel(level);
-            out.sendWhole(200, JSON, Json.write(Map.of("level", level)));
+            out.sendComplete(200, JSON, Json.write(Map.of("level", level)));
         } catch (IllegalArgumentException e) {
             String error = "no level '" + level + "': trace, debug, info, warn, error, off";
-            out.sendWhole(400, JSON, Json.write(Map.of("error", error)));
+            out.sendComplete(400, JSON, Json.write(Map.of("error", error)));
         }
     }
 
     private static void ready(ManagedNode node, Responder out) {
         boolean ready = node.isReady();
-        out.sendWhole(ready ? 200 : 503, JSON, Json.write(Map.of("ready", ready)));
+        out.sendComplete(ready ? 200 : 503, JSON, Json.write(Map.of("ready", ready)));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/CallApi.java
@@ -279,7 +279,7 @@
             mOut.setHeader("Ebonyrun-Endpoint", answer.vm().value());
             byte[] body =
                     mEngine && success ? CompletionsCodec.encodeResponse(answer) : answer.body();
-            mOut.sendWhole(
+            mOut.sendComplete(
                     answer.status(),
                     mEngine ? FaultResponses.JSON_CONTENT_TYPE : answer.contentType(),
                     body);
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/ConfigApi.java
@@ -127,7 +127,7 @@
         body.put("version", config.version());
         body.put("author", config.author());
         body.put("text", config.text());
-        out.sendWhole(200, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
+        out.sendComplete(200, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
         return true;
     }
 
@@ -149,7 +149,7 @@
                     .put("path", problem.path())
                     .put("message", problem.message());
         }
-        out.sendWhole(422, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
+        out.sendComplete(422, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
         return false;
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/EntryNode.java
@@ -111,10 +111,10 @@
                 .whenComplete(
                         (state, error) -> {
                             if (error == null) {
-                                out.sendWhole(
+                                out.sendComplete(
                                         200, FaultResponses.JSON_CONTENT_TYPE, Json.write(state));
                             } else {
-                                out.sendWhole(
+                                out.sendComplete(
                                         503,
                                         FaultResponses.JSON_CONTENT_TYPE,
                                         Json.write(Map.of("error", "busy")));
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/FaultResponses.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/FaultResponses.java
@@ -33,6 +33,6 @@
             long seconds = Math.max(1, fault.retryAfterMillis() / MILLIS_PER_SECOND);
             out.setHeader("Retry-After", Long.toString(seconds));
         }
-        out.sendWhole(fault.code().httpStatus(), JSON_CONTENT_TYPE, toJson(fault));
+        out.sendComplete(fault.code().httpStatus(), JSON_CONTENT_TYPE, toJson(fault));
     }
 }
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepApi.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/entry/StepApi.java
@@ -164,7 +164,7 @@
         } else {
             body.put("accepted", true);
         }
-        out.sendWhole(200, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
+        out.sendComplete(200, FaultResponses.JSON_CONTENT_TYPE, Json.write(body));
     }
 
     private static Fault notRunFault(FaultCode code, String detail) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -228,7 +228,7 @@
         gauges.put("ebonyrun_entry_config_version", (double) mRoutes.version());
         gauges.put("ebonyrun_entry_ready", mReady ? 1.0 : 0.0);
         gauges.put("ebonyrun_entry_store_away", mHealth.isUnavailable() ? 1.0 : 0.0);
-        gauges.put("ebonyrun_entry_planner", mPlanner.isLeaseHolder() ? 1.0 : 0.0);
+        gauges.put("ebonyrun_entry_planner", mPlanner.holdsRole() ? 1.0 : 0.0);
         gauges.put("ebonyrun_entry_log_lines_dropped", (double) mLog.dropped());
         return gauges;
     }
@@ -293,7 +293,7 @@
         }
         mHealth.onTick(now);
         mWatches.forEach(watch -> watch.onTick(now));
-        mLease.onTick(mStepOwnership.needsLease() || mPlanner.isLeaseHolder(), now);
+        mLease.onTick(mStepOwnership.needsLease() || mPlanner.holdsRole(), now);
         mStepOwnership.onTick(mDirectory.ownedOrClaimableBy(mProcessName), now);
         mPlanner.onTick(now);
         mSamples.machine().onTick(now);
@@ -345,7 +345,7 @@
     }
 
     private boolean isIdle() {
-        return !mStepOwnership.needsLease() && !mPlanner.isLeaseHolder();
+        return !mStepOwnership.needsLease() && !mPlanner.holdsRole();
     }
 
     private StoreWatch watch(
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/PlannerController.java
@@ -110,7 +110,7 @@
         return mMachine;
     }
 
-    boolean isLeaseHolder() {
+    boolean holdsRole() {
         return mMachine.holdsLease();
     }
 
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepDirectory.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepDirectory.java
@@ -70,7 +70,7 @@
      * Returns the newest step of the same trainer with a lower number than a manifest's, unless
      * every sample of it is listed; null if there is none.
      */
-    @Nullable StepId findUnfinishedPredecessor(StepManifest manifest) {
+    @Nullable StepId findIncompletePredecessor(StepManifest manifest) {
         StepId predecessor = null;
         int highest = -1;
         for (Map.Entry<StepId, StepStatus> entry : mSteps.entrySet()) {
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/StepOwnership.java
@@ -223,7 +223,7 @@
                                 .with("fence", revision));
         OwnedStep owned = new OwnedStep(revision);
         mOwned.put(spec.id(), owned);
-        StepId predecessor = mContext.directory().findUnfinishedPredecessor(manifest);
+        StepId predecessor = mContext.directory().findIncompletePredecessor(manifest);
         if (predecessor == null || !mCarriesTexts) {
             run(spec, route, owned, List.of());
             return;
--- a/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StepDirectoryTest.java
+++ b/ebonyrun-daemon/src/test/java/org/ebonyrun/daemon/hosted/StepDirectoryTest.java
@@ -104,7 +104,7 @@
         mDirectory.onChange(new StoreChange(done, mRevision, item));
         StepManifest manifest = new StepManifest("h", "/p/", model, number, 1, 2, 2_000);
 
-        StepId predecessor = mDirectory.findUnfinishedPredecessor(manifest);
+        StepId predecessor = mDirectory.findIncompletePredecessor(manifest);
         assertThat(predecessor == null ? "none" : predecessor.toString(), is(expected));
     }
 }
--- a/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/Responder.java
+++ b/ebonyrun-ports/src/main/java/org/ebonyrun/ports/http/Responder.java
@@ -30,7 +30,7 @@
     }
 
     /** Sends a complete response; does nothing if one was begun. */
-    public synchronized void sendWhole(int status, String contentType, byte[] body) {
+    public synchronized void sendComplete(int status, String contentType, byte[] body) {
         if (mBegun || mEnded) {
             return;
         }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinEngine.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinEngine.java
@@ -156,13 +156,13 @@
         state.put("slots", mSettings.slots());
         state.put("running", mRunningCount.get());
         state.put("checks_fence", mSettings.checksFence());
-        out.sendWhole(200, "application/json", JSON.writeValueAsBytes(state));
+        out.sendComplete(200, "application/json", JSON.writeValueAsBytes(state));
     }
 
     private void onWeights(Request request, Responder out) {
         String version = request.getRequestURI().substring("/weights/".length());
         boolean isLoaded = Long.parseLong(version) == mVersion;
-        out.sendWhole(isLoaded ? 200 : 404, "application/octet-stream", new byte[0]);
+        out.sendComplete(isLoaded ? 200 : 404, "application/octet-stream", new byte[0]);
     }
 
     private void onCompletion(Request request, Responder out) {
@@ -178,7 +178,7 @@
         try {
             tree = JSON.readTree(body);
         } catch (IOException e) {
-            out.sendWhole(400, "application/json", "{\"error\":\"bad json\"}".getBytes());
+            out.sendComplete(400, "application/json", "{\"error\":\"bad json\"}".getBytes());
             return false;
         }
         String prompt = tree.path("prompt").asText();
@@ -208,13 +208,13 @@
         try {
             order = JSON.readTree(body);
         } catch (IOException e) {
-            out.sendWhole(400, "text/plain", new byte[0]);
+            out.sendComplete(400, "text/plain", new byte[0]);
             return;
         }
         long fence = order.path("fence").asLong();
         if (fence < mHighestFence) {
             if (mSettings.checksFence()) {
-                out.sendWhole(409, "text/plain", "old fence".getBytes(StandardCharsets.UTF_8));
+                out.sendComplete(409, "text/plain", "old fence".getBytes(StandardCharsets.UTF_8));
                 return;
             }
             mAcceptedStaleOrders++;
@@ -231,13 +231,13 @@
         boolean fetched = result.fold(HttpResponse::isSuccess, fault -> false);
         boolean fails = mLoadsToFail.getAndUpdate(n -> Math.max(0, n - 1)) > 0;
         if (!fetched || fails || mTimer.isShutdown()) {
-            out.sendWhole(502, "text/plain", "fetch failed".getBytes(StandardCharsets.UTF_8));
+            out.sendComplete(502, "text/plain", "fetch failed".getBytes(StandardCharsets.UTF_8));
             return;
         }
         mTimer.schedule(
                 () -> {
                     mVersion = version;
-                    out.sendWhole(200, "text/plain", new byte[0]);
+                    out.sendComplete(200, "text/plain", new byte[0]);
                 },
                 mSettings.swapMillis(),
                 TimeUnit.MILLISECONDS);
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinService.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/engine/StandinService.java
@@ -78,7 +78,7 @@
                 Responder out = StandinEngine.suspend(request, response);
                 String path = request.getRequestURI();
                 if (!request.getMethod().getMethodString().equals("POST")) {
-                    out.sendWhole(200, JSON, "{}".getBytes(StandardCharsets.UTF_8));
+                    out.sendComplete(200, JSON, "{}".getBytes(StandardCharsets.UTF_8));
                     return;
                 }
                 BodyReader.read(
@@ -99,7 +99,7 @@
                         ? Integer.toString(body.length % 100).getBytes(StandardCharsets.UTF_8)
                         : body;
         mTimer.schedule(
-                () -> out.sendWhole(200, JSON, response), mServiceMillis, TimeUnit.MILLISECONDS);
+                () -> out.sendComplete(200, JSON, response), mServiceMillis, TimeUnit.MILLISECONDS);
         return true;
     }
 }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/StandinPlatform.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/platform/StandinPlatform.java
@@ -148,7 +148,7 @@
     private boolean refuseIfDown(Responder out) {
         mCallCount.incrementAndGet();
         if (mDown) {
-            out.sendWhole(503, "text/plain", new byte[0]);
+            out.sendComplete(503, "text/plain", new byte[0]);
         }
         return mDown;
     }
@@ -161,7 +161,7 @@
         var entries = body.putArray("entries");
         mTable.list(String.valueOf(request.getParameter("prefix")), nowMillis())
                 .forEach(entry -> entries.add(toJson(entry)));
-        out.sendWhole(200, JSON_TYPE, JSON.writeValueAsBytes(body));
+        out.sendComplete(200, JSON_TYPE, JSON.writeValueAsBytes(body));
     }
 
     private void onKey(Request request, Responder out) throws IOException {
@@ -186,7 +186,7 @@
                 notifyWatches(key);
                 sendOutcome(outcome, out);
             }
-            default -> out.sendWhole(405, "text/plain", new byte[0]);
+            default -> out.sendComplete(405, "text/plain", new byte[0]);
         }
     }
 
@@ -209,7 +209,7 @@
             JsonNode tree = JSON.readTree(body);
             value = Base64.getDecoder().decode(tree.get("value").asText());
         } catch (IOException e) {
-            out.sendWhole(400, "text/plain", new byte[0]);
+            out.sendComplete(400, "text/plain", new byte[0]);
             return false;
         }
         WriteOutcome outcome =
@@ -228,7 +228,7 @@
         }
         byte[] body =
                 ("{\"revision\":" + outcome.revision() + "}").getBytes(StandardCharsets.UTF_8);
-        out.sendWhole(outcome.applied() ? 200 : 409, JSON_TYPE, body);
+        out.sendComplete(outcome.applied() ? 200 : 409, JSON_TYPE, body);
     }
 
     private void notifyWatches(String key) {
@@ -249,9 +249,9 @@
 
     private static void sendEntry(@Nullable KeyValueEntry entry, Responder out) {
         if (entry == null) {
-            out.sendWhole(404, JSON_TYPE, "{}".getBytes(StandardCharsets.UTF_8));
+            out.sendComplete(404, JSON_TYPE, "{}".getBytes(StandardCharsets.UTF_8));
         } else {
-            out.sendWhole(
+            out.sendComplete(
                     200, JSON_TYPE, toJson(entry).toString().getBytes(StandardCharsets.UTF_8));
         }
     }
@@ -264,23 +264,23 @@
     }
 
     private void onVms(Request request, Responder out) throws IOException {
-        out.sendWhole(200, JSON_TYPE, JSON.writeValueAsBytes(new ArrayList<>(mVms.values())));
+        out.sendComplete(200, JSON_TYPE, JSON.writeValueAsBytes(new ArrayList<>(mVms.values())));
     }
 
     private void onWeights(Request request, Responder out) {
         String[] parts = request.getRequestURI().substring("/weights/".length()).split("/");
         AtomicLong latest = mLatestVersions.computeIfAbsent(parts[0], key -> new AtomicLong());
         if (parts[1].equals("latest")) {
-            out.sendWhole(200, "text/plain", latest.toString().getBytes(StandardCharsets.UTF_8));
+            out.sendComplete(200, "text/plain", latest.toString().getBytes(StandardCharsets.UTF_8));
         } else if (request.getMethod().getMethodString().equals("PUT")) {
             publish(parts[0], Long.parseLong(parts[1]));
-            out.sendWhole(200, "text/plain", new byte[0]);
+            out.sendComplete(200, "text/plain", new byte[0]);
         } else if (mFetchesThisSecond.incrementAndGet() > WEIGHT_FETCHES_PER_SECOND) {
-            out.sendWhole(429, "text/plain", new byte[0]);
+            out.sendComplete(429, "text/plain", new byte[0]);
         } else if (Long.parseLong(parts[1]) > latest.get()) {
-            out.sendWhole(404, "text/plain", new byte[0]);
+            out.sendComplete(404, "text/plain", new byte[0]);
         } else {
-            out.sendWhole(200, "application/octet-stream", new byte[0]);
+            out.sendComplete(200, "application/octet-stream", new byte[0]);
         }
     }
 
