--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
@@ -22,14 +22,15 @@
  * its endpoint, and holds finished samples.
  *
  * <p>Invariants: an attempt ID starts at most once; {@code Refused} is sent only for an attempt
- * that was never handed to the endpoint; every accepted attempt whose link is open ends in exactly
- * one of {@code Done}, {@code SampleFinished}, {@code Failed} or {@code Refused}; a finished sample
- * is held until it is released; a draining agent accepts no new attempts.
+ * that was never handed to the endpoint; every accepted attempt that is not cancelled and whose
+ * link is open ends in exactly one of {@code Done}, {@code SampleFinished}, {@code Failed} or
+ * {@code Refused}; a finished sample is held until it is released; a draining agent accepts no new
+ * attempts.
  *
  * <p>Not thread safe; confined to the attempt event loop.
  */
 public final class AttemptMachine implements Ticking {
-    private static final long MIN_RETRY_MILLIS = 50;
+    private static final long MIN_RETRY_AFTER_MILLIS = 50;
     private static final long URGENT_WINDOW_NANOS = Nanos.ofMillis(5_000);
 
     private final VmId mVm;
@@ -168,7 +169,7 @@
             fail(attempt, Fault.unknown(code, step, mVm.value(), detail), now);
         } else {
             Fault fault = Fault.notRun(code, step, mVm.value(), detail);
-            refuse(attempt.mLink, id, fault.withRetryAfterMillis(MIN_RETRY_MILLIS), now);
+            refuse(attempt.mLink, id, fault.withRetryAfterMillis(MIN_RETRY_AFTER_MILLIS), now);
         }
         startQueued(now);
     }
@@ -237,7 +238,8 @@
      * @param held the number of finished samples held
      * @param heldBytes the total size of these samples, in bytes
      * @param duplicates the number of offers ignored because their ID had arrived before
-     * @param unknownEvents the number of events ignored because their attempt is closed or unknown
+     * @param unknownEvents the number of ignored events: those of closed or unknown attempts, and
+     *     messages of an unexpected type
      */
     public record Dump(
             EndpointLoad load,
@@ -255,12 +257,15 @@
                 timeOut(attempt, now);
             }
         }
-        releaseOrphans(now);
+        releaseInactiveSteps(now);
         startQueued(now);
     }
 
-    /** Releases the held samples of orphaned steps. A later owner can run these samples again. */
-    private void releaseOrphans(long now) {
+    /**
+     * Releases the held samples of steps without an active owner. A later owner can run these
+     * samples again.
+     */
+    private void releaseInactiveSteps(long now) {
         mStepOwners.removeOrphans(now).forEach(this::releaseStep);
     }
 
@@ -314,7 +319,7 @@
             mAdmission.onCallEnd(false, job.targetQuantile());
             double wait = ahead * mServiceTimes.meanMillis(job.className()) / slots;
             return notRunFault(FaultCode.OVERLOADED, "the call would miss its target latency")
-                    .withRetryAfterMillis(Math.max(MIN_RETRY_MILLIS, (long) wait));
+                    .withRetryAfterMillis(Math.max(MIN_RETRY_AFTER_MILLIS, (long) wait));
         }
         return null;
     }
@@ -532,7 +537,7 @@
 
     private Fault notRunFault(FaultCode code, String detail) {
         return Fault.notRun(code, "agent.admit", mVm.value(), detail)
-                .withRetryAfterMillis(MIN_RETRY_MILLIS);
+                .withRetryAfterMillis(MIN_RETRY_AFTER_MILLIS);
     }
 
     private Fault endpointErrorFault(String detail) {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/StepOwners.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/StepOwners.java
@@ -16,7 +16,7 @@
  * <p>Not thread safe; confined to the attempt event loop.
  */
 final class StepOwners {
-    private static final long ORPHAN_TIMEOUT_NANOS = Nanos.ofMillis(1_800_000);
+    private static final long INACTIVITY_TIMEOUT_NANOS = Nanos.ofMillis(1_800_000);
 
     private final Map<StepKey, Owner> mOwners = new HashMap<>();
 
@@ -64,14 +64,14 @@
 
     /** Removes and returns the steps whose owners have been inactive for half an hour. */
     List<StepKey> removeOrphans(long now) {
-        List<StepKey> orphans = new ArrayList<>();
+        List<StepKey> inactive = new ArrayList<>();
         mOwners.forEach(
                 (step, owner) -> {
-                    if (now - owner.lastActiveAt() >= ORPHAN_TIMEOUT_NANOS) {
-                        orphans.add(step);
+                    if (now - owner.lastActiveAt() >= INACTIVITY_TIMEOUT_NANOS) {
+                        inactive.add(step);
                     }
                 });
-        orphans.forEach(mOwners::remove);
-        return orphans;
+        inactive.forEach(mOwners::remove);
+        return inactive;
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ClassSpec.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ClassSpec.java
@@ -10,9 +10,9 @@
  * @param name the class
  * @param service the service that runs the work
  * @param kind who waits for the results
- * @param latenessQuantile the share of answered calls that must meet the target latency; zero for
+ * @param targetQuantile the share of answered calls that must meet the target latency; zero for
  *     rollouts
- * @param latenessMillis the target latency in milliseconds; zero for rollouts
+ * @param targetLatencyMillis the target latency in milliseconds; zero for rollouts
  * @param idempotent whether a request may run more than once, unless its headers specify it
  * @param stalenessVersions the maximum age of a delivered sample, in versions; rollouts only
  * @param trainerIdleMillis the accepted idle time of the trainer per step, in milliseconds
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigMachine.java
@@ -21,7 +21,7 @@
         mOutputs = outputs;
     }
 
-    /** Creates a machine that has no configuration yet. */
+    /** Creates a state machine that has no configuration yet. */
     public static ConfigMachine create(ConfigOutputs outputs) {
         return new ConfigMachine(outputs);
     }
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Handles the version on a peer's heartbeat. A peer with an older version gets no text unless
-     * it requests one: all its peers report the newer version to it, and it needs the text only
+     * Handles the version on a peer's heartbeat. A peer with an older version gets the text only on
+     * request: many processes report the newer version to that peer, but it needs the text only
      * once.
      */
     public void onPeerVersion(long link, long version) {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/config/ConfigOutputs.java
@@ -1,6 +1,9 @@
 package org.ebonyrun.core.config;
 
-/** The outputs of the configuration machine. Called on its event loop. */
+/**
+ * Performs the actions that {@link ConfigMachine} decides on. Called on the configuration event
+ * loop.
+ */
 public interface ConfigOutputs {
     /** Sends a message to the peer on the link with the given number. */
     void send(long link, ConfigMessage message);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMachine.java
@@ -21,11 +21,11 @@
  *
  * <ul>
  *   <li>A peer is usable only while its link is open, its last message is less than {@link
- *       #SUSPECT_NANOS} old, and neither the peer nor the list reports it as leaving.
+ *       #SUSPECT_TIMEOUT_NANOS} old, and neither the peer nor the list reports it as leaving.
  *   <li>A list that can't be read changes nothing.
  *   <li>A peer that is no longer listed keeps its link while it sends messages, because the list
  *       lags. It is removed once its link is closed.
- *   <li>A connection attempt is repeated if the peer does not introduce itself as the expected VM,
+ *   <li>A connection attempt is repeated if the peer does not identify itself as the expected VM,
  *       for example because its address was reassigned to another VM.
  *   <li>A peer that is still listed but now assigned to other entries gets no new work from this
  *       one. Its link is closed after a grace period in which the work on it can finish.
@@ -80,7 +80,7 @@
     /** A peer to which this process connects. Confined to the membership event loop. */
     private static final class TrackedPeer {
         private Peer mPeer;
-        private boolean mWanted = true;
+        private boolean mAssigned = true;
         private long mUnassignedAt = NEVER;
         private boolean mReportedLeaving;
         private LinkState mLink = LinkState.CLOSED;
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Creates a machine that connects to the endpoints that have this entry among their {@code
-     * entriesPerEndpoint} entries, and to as many other entries.
+     * Creates a state machine that connects to the endpoints that have this entry among their
+     * {@code entriesPerEndpoint} entries, and to as many other entries.
      */
     public static MembershipMachine create(
             VmId self,
@@ -110,30 +110,30 @@
         return new MembershipMachine(self, domain, entriesPerEndpoint, random, outputs);
     }
 
-    /** Handles a new reading of the platform's list of VMs. */
+    /** Handles the platform's latest list of VMs. */
     public void onVmList(List<Peer> peers, long now) {
         if (peers.equals(mLastList)) {
             onTick(now);
             return;
         }
         mLastList = List.copyOf(peers);
-        Map<VmId, Peer> wanted = wanted(peers);
+        Map<VmId, Peer> assigned = choosePeers(peers);
         Set<VmId> listed = peers.stream().map(Peer::vm).collect(Collectors.toSet());
         for (TrackedPeer tracked : mTracked.values()) {
             VmId vm = tracked.mPeer.vm();
-            tracked.mWanted = wanted.containsKey(vm);
-            boolean unassigned = listed.contains(vm) && !tracked.mWanted;
+            tracked.mAssigned = assigned.containsKey(vm);
+            boolean unassigned = listed.contains(vm) && !tracked.mAssigned;
             tracked.mUnassignedAt = unassigned ? Math.min(tracked.mUnassignedAt, now) : NEVER;
         }
-        wanted.values().forEach(peer -> track(peer, now));
+        assigned.values().forEach(peer -> track(peer, now));
         onTick(now);
     }
 
     /**
-     * Returns the peers to connect to. The entries of an endpoint are chosen from the endpoint's ID
-     * and failure domain, so that no endpoint is left without entries.
+     * Returns the peers to connect to. An endpoint's entries are determined by the endpoint's ID
+     * and failure domain, so that every endpoint has entries.
      */
-    private Map<VmId, Peer> wanted(List<Peer> peers) {
+    private Map<VmId, Peer> choosePeers(List<Peer> peers) {
         List<Peer> entries = new ArrayList<>();
         entries.add(new Peer(mSelf, false, "", mDomain, "", 0, false));
         peers.stream()
@@ -143,21 +143,21 @@
             mEntries = entries;
             mAssignments.clear();
         }
-        Map<VmId, Peer> wanted = new HashMap<>();
+        Map<VmId, Peer> assigned = new HashMap<>();
         SubsetChooser.choose(
                         mSelf, mDomain, entries.subList(1, entries.size()), mEntriesPerEndpoint)
-                .forEach(peer -> wanted.put(peer.vm(), peer));
+                .forEach(peer -> assigned.put(peer.vm(), peer));
         Map<String, List<Peer>> services =
                 peers.stream().filter(Peer::endpoint).collect(Collectors.groupingBy(Peer::service));
         for (List<Peer> endpoints : services.values()) {
             endpoints.stream()
                     .filter(peer -> mAssignments.computeIfAbsent(peer, this::isAssigned))
-                    .forEach(peer -> wanted.put(peer.vm(), peer));
+                    .forEach(peer -> assigned.put(peer.vm(), peer));
             SubsetChooser.choose(mSelf, mDomain, endpoints, mEntriesPerEndpoint)
-                    .forEach(peer -> wanted.put(peer.vm(), peer));
+                    .forEach(peer -> assigned.put(peer.vm(), peer));
         }
         mAssignments.keySet().retainAll(Set.copyOf(peers));
-        return wanted;
+        return assigned;
     }
 
     private boolean isAssigned(Peer endpoint) {
@@ -214,7 +214,7 @@
         }
     }
 
-    /** Returns the peers and their state for a dump. */
+    /** Returns the state of each peer, for the admin dump. */
     public List<PeerDump> dump(long now) {
         List<PeerDump> peers = new ArrayList<>();
         for (TrackedPeer tracked : mTracked.values()) {
@@ -224,7 +224,7 @@
                             tracked.mPeer.service(),
                             tracked.mPeer.failureDomain(),
                             tracked.mLink.name(),
-                            tracked.mWanted,
+                            tracked.mAssigned,
                             tracked.mUsable,
                             Nanos.toMillis(now - tracked.mLastReceivedAt)));
         }
@@ -237,7 +237,7 @@
     }
 
     /**
-     * The state of one peer, for operators.
+     * The state of one peer, for the admin dump.
      *
      * @param vm the peer
      * @param service its service; empty for an entry
@@ -278,7 +278,7 @@
         if (tracked.mLink == LinkState.CONNECTING && timedOut) {
             onDisconnected(vm, now);
         }
-        if (!tracked.mWanted && tracked.mLink == LinkState.CLOSED) {
+        if (!tracked.mAssigned && tracked.mLink == LinkState.CLOSED) {
             remove(tracked);
             return;
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMessage.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipMessage.java
@@ -6,7 +6,7 @@
 import org.ebonyrun.core.attempt.EndpointLoad;
 import org.jspecify.annotations.Nullable;
 
-/** Messages by which processes introduce themselves and show that they are alive. Immutable. */
+/** Messages by which processes identify themselves and show that they are alive. Immutable. */
 public sealed interface MembershipMessage extends Message {
     /**
      * The first message on a link, from both sides.
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/membership/MembershipOutputs.java
@@ -2,7 +2,10 @@
 
 import org.ebonyrun.base.id.VmId;
 
-/** The outputs of the membership machine. Called on its event loop; must not block. */
+/**
+ * Performs the actions that {@link MembershipMachine} decides on. Called on the membership event
+ * loop; must not block.
+ */
 public interface MembershipOutputs {
     /** Opens a link; the result comes back as an event. */
     void connect(Peer peer);
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/PendingPull.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/PendingPull.java
@@ -4,7 +4,7 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A pull that has not been answered yet. Not thread safe; confined to the rollout event loop. */
+/** A pull that has not been replied to yet. Not thread safe; confined to the rollout event loop. */
 final class PendingPull {
     final long mRequestId;
     final Cursor mCursor;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/PullHandler.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/PullHandler.java
@@ -24,7 +24,7 @@
  */
 final class PullHandler {
     private static final long FETCH_TIMEOUT_NANOS = Nanos.ofMillis(3_000);
-    // A reply exceeds this only if its first sample alone does.
+    // Maximum size of the content in a reply. A larger reply contains a single sample.
     private static final int MAX_REPLY_BYTES = 4 << 20;
     private static final long RETRY_AFTER_MILLIS = 200;
 
@@ -78,7 +78,7 @@
             pull.mPendingFetches.clear();
             onFetchesEnded(pull, now);
         } else if (pull.mPendingFetches.isEmpty() && now - pull.mDeadline >= 0) {
-            answer(pull, now);
+            reply(pull, now);
         } else {
             fetchReadySamples(now);
         }
@@ -134,7 +134,9 @@
         return selected;
     }
 
-    /** Handles fetched content. Its age is checked once more, because this is its delivery. */
+    /**
+     * Handles fetched content. Checks the sample's age again, because the age at delivery counts.
+     */
     void onSampleContent(Slot slot, byte[] content, SampleInfo info, long now) {
         PendingPull pull = mPendingPull;
         if (pull == null || !pull.mPendingFetches.get(slot.mIndex)) {
@@ -173,11 +175,11 @@
         if (pull.mSamples.isEmpty()) {
             fetchReadySamples(now);
         } else {
-            answer(pull, now);
+            reply(pull, now);
         }
     }
 
-    private void answer(PendingPull pull, long now) {
+    private void reply(PendingPull pull, long now) {
         mPendingPull = null;
         Cursor next = pull.nextCursor();
         int remaining = mStep.slots().size() - next.slotCount();
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Step.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/Step.java
@@ -152,7 +152,7 @@
     void onHeldSamples(VmId vm, AttemptMessage.HeldSamples held, long now) {
         held.held().forEach(sample -> onSampleFinished(vm, sample.key(), sample.info(), now));
         for (SampleKey key : held.running()) {
-            Slot slot = slot(key);
+            Slot slot = findSlot(key);
             if (slot != null && slot.mPhase == Slot.Phase.ADOPTED) {
                 slot.mRetryAt = now + SAMPLE_TIMEOUT_NANOS;
                 slot.mVm = vm;
@@ -162,7 +162,7 @@
 
     /** Handles a finished sample. The first one for a slot is kept; any other is released. */
     void onSampleFinished(VmId vm, SampleKey key, SampleInfo info, long now) {
-        Slot slot = slot(key);
+        Slot slot = findSlot(key);
         if (slot == null) {
             return;
         }
@@ -192,7 +192,7 @@
 
     /** Handles a sample whose work the dispatcher abandoned. */
     void onSampleFailed(SampleKey key, long now) {
-        Slot slot = slot(key);
+        Slot slot = findSlot(key);
         if (slot != null && slot.mPhase == Slot.Phase.SUBMITTED) {
             cancelWork(slot);
             slot.reset();
@@ -201,7 +201,7 @@
     }
 
     void onScored(SampleKey key, @Nullable String score, long now) {
-        Slot slot = slot(key);
+        Slot slot = findSlot(key);
         if (slot == null || slot.mPhase != Slot.Phase.SCORING) {
             return;
         }
@@ -215,7 +215,7 @@
     }
 
     void onSampleContent(VmId vm, AttemptMessage.SampleContent message, long now) {
-        Slot slot = slot(message.key());
+        Slot slot = findSlot(message.key());
         if (slot == null || !vm.equals(slot.mVm)) {
             return;
         }
@@ -442,7 +442,7 @@
         return new SampleKey(mManifest.trainer(), mManifest.step(), slot.mIndex);
     }
 
-    private @Nullable Slot slot(SampleKey key) {
+    private @Nullable Slot findSlot(SampleKey key) {
         boolean belongsToStep =
                 key.trainer().equals(mManifest.trainer())
                         && key.step() == mManifest.step()
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TrainerSteps.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/rollout/TrainerSteps.java
@@ -149,7 +149,7 @@
             if (manifest == null && pending.request() instanceof StepRequest.Submit submit) {
                 store(pending, submit.manifest());
             } else if (!mSteps.containsKey(step)) {
-                fail(pending.requestId(), unknownStep(step));
+                fail(pending.requestId(), unknownStepFault(step));
             } else {
                 handle(pending, config, now);
             }
@@ -193,7 +193,7 @@
         } else if (state == LeaseState.OTHER && holder != null && !pending.forwarded()) {
             mOutputs.forward(holder, pending.requestId(), pending.request());
         } else if (state == LeaseState.OTHER) {
-            fail(pending.requestId(), ownerUnavailable("this entry does not own the step"));
+            fail(pending.requestId(), ownerUnavailableFault("this entry does not own the step"));
         } else {
             mWaitingForOwner.add(pending);
             mLease.acquireIfDue(now);
@@ -221,7 +221,7 @@
             @Nullable Step existing,
             OperatorConfig config) {
         if (existing != null) {
-            answerResubmission(pending, manifest, existing);
+            replyToResubmission(pending, manifest, existing);
             return;
         }
         ClassSpec spec = config.classSpec(manifest.className()).orElse(null);
@@ -233,7 +233,7 @@
         load(pending);
     }
 
-    private void answerResubmission(PendingRequest pending, StepManifest manifest, Step existing) {
+    private void replyToResubmission(PendingRequest pending, StepManifest manifest, Step existing) {
         if (existing.manifest().equals(manifest)) {
             mOutputs.reply(pending.requestId(), StepReply.accepted());
             return;
@@ -366,7 +366,7 @@
                 mWaitingForOwner.remove(pending);
                 fail(
                         pending.requestId(),
-                        ownerUnavailable("the owner of the step could not be determined"));
+                        ownerUnavailableFault("the owner of the step could not be determined"));
             }
         }
     }
@@ -375,12 +375,12 @@
         mOutputs.reply(requestId, StepReply.failed(fault));
     }
 
-    private static Fault ownerUnavailable(String detail) {
+    private static Fault ownerUnavailableFault(String detail) {
         return Fault.notRun(FaultCode.OWNER_UNAVAILABLE, "step.owner", "", detail)
                 .withRetryAfterMillis(RETRY_AFTER_MILLIS);
     }
 
-    private Fault unknownStep(long step) {
+    private Fault unknownStepFault(long step) {
         String detail = "trainer " + mTrainer + " has no step " + step;
         return Fault.notRun(FaultCode.NOT_FOUND, "step.load", "", detail);
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatcher.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/routing/Dispatcher.java
@@ -30,7 +30,7 @@
  * an attempt may have run; a call that is not cancelled ends in exactly one of {@link
  * DispatchOutputs#onAnswer} and {@link DispatchOutputs#onFault}; a response is delivered only if
  * the number of received pieces matches that of its end marker; messages of closed or unknown
- * attempts are counted and dropped.
+ * attempts are counted and dropped, except that a finished sample is still reported.
  *
  * <p>Not thread safe; confined to the dispatch event loop.
  */
@@ -213,7 +213,8 @@
      * @param attempts the number of open attempts
      * @param waitingSamples the number of samples that wait for an endpoint
      * @param retries the number of calls sent again after an attempt that may have run
-     * @param unknownMessages the number of dropped messages
+     * @param unknownMessages the number of messages of an unexpected type or of closed or unknown
+     *     attempts
      * @param endpoints the endpoints
      */
     public record Dump(
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/EndpointTracker.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/EndpointTracker.java
@@ -22,7 +22,7 @@
  * <p>Not thread safe; confined to the planner's event loop.
  */
 final class EndpointTracker {
-    /** The source that stands for the weight store; any other source is the ID of a VM. */
+    /** The source value of the weight store; any other source is the ID of a VM. */
     static final String STORE = "";
 
     private final Map<VmId, TrackedEndpoint> mEndpoints = new TreeMap<>();
@@ -51,11 +51,11 @@
     private static final class TrackedEndpoint {
         private final VmId mVm;
         private long mVersion;
-        // The version that it was ordered to load; zero if none.
+        // The version that the endpoint was ordered to load; zero if none.
         private long mOrderedVersion;
         private String mSource = STORE;
         private long mOrderDeadline;
-        // The end of its backoff; zero if none.
+        // The end of the backoff; zero if none.
         private long mBackoffUntil;
 
         TrackedEndpoint(VmId vm) {
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Handles the newest version in the store. If it is newer than the latest known one, every
-     * endpoint is sorted into the sets anew.
+     * Handles the newest version in the store. If it is newer than the previous one, every endpoint
+     * is classified again.
      */
     void onLatestVersion(long version) {
         if (version <= mLatestVersion) {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/SwapOutputs.java
@@ -8,7 +8,7 @@
     /** Sends a message to the entry on the given link. */
     void send(long link, WeightMessage message);
 
-    /** Tells the endpoint to load a version; the outcome comes back as an event. */
+    /** Starts loading a version into the endpoint; the outcome comes back as an event. */
     void load(long version, long fence, String source);
 
     /** Reports to the attempt event loop whether a swap is in progress. */
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/weights/WeightPlanner.java
@@ -23,7 +23,7 @@
  * contain its fence; at most {@link #MAX_SWAPPING_SHARE} of the endpoints swap at the same time,
  * but at least one may; at most {@link #MAX_STORE_FETCHES} of them fetch from the rate-limited
  * weight store, and the others copy from endpoints that have the version, each of which serves at
- * most {@link #MAX_COPIES} copies at the same time.
+ * most {@link #MAX_COPIES_PER_SOURCE} copies at the same time.
  *
  * <p>Not thread safe; confined to the planner's event loop.
  */
@@ -88,8 +88,8 @@
     /**
      * Handles the version that an endpoint reports.
      *
-     * @param usable whether the endpoint can take work; one that can't is not counted and gets no
-     *     orders
+     * @param usable whether the endpoint can take work; an unusable endpoint is not counted and
+     *     gets no orders
      */
     public void onVersion(VmId vm, ServiceName service, long version, boolean usable) {
         Plan plan = mPlans.get(service);
@@ -192,7 +192,7 @@
      *
      * @param service the service
      * @param planner whether this process holds the service's planner lease
-     * @param fence the fence of its orders
+     * @param fence the fence of the planner's orders
      * @param latest the newest version in the store
      * @param failures the number of orders that failed
      * @param versions the weight version of each endpoint
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/RolloutMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/rollout/RolloutMachineTest.java
@@ -231,8 +231,8 @@
         long request = openPull(cursor, version, 0);
         for (SampleKey key : List.copyOf(mOutputs.mFetches)) {
             byte[] content = {(byte) ('a' + key.slot())};
-            AttemptMessage answer = new AttemptMessage.SampleContent(key, content, info(5));
-            mMachine.onMessage(VM, answer, 0);
+            AttemptMessage message = new AttemptMessage.SampleContent(key, content, info(5));
+            mMachine.onMessage(VM, message, 0);
         }
         return reply(request);
     }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/DispatcherTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/routing/DispatcherTest.java
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void holdsSamplesUntilWeightsAreFreshEnough() {
+    void placesSampleOnlyOnEndpointWithRequiredVersion() {
         SampleKey key = new SampleKey(TrainerId.of("t"), 1, 0);
         mDispatcher.setMinVersion(key.trainer(), 2, 0);
         mDispatcher.submit(work(1, true, key), 0);
