--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/AttemptMachine.java
@@ -266,7 +266,7 @@
      * samples again.
      */
     private void releaseInactiveSteps(long now) {
-        mStepOwners.removeOrphans(now).forEach(this::releaseStep);
+        mStepOwners.removeInactive(now).forEach(this::releaseStep);
     }
 
     private void releaseStep(StepKey step) {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/StepOwners.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/attempt/StepOwners.java
@@ -63,7 +63,7 @@
     }
 
     /** Removes and returns the steps whose owners have been inactive for half an hour. */
-    List<StepKey> removeOrphans(long now) {
+    List<StepKey> removeInactive(long now) {
         List<StepKey> inactive = new ArrayList<>();
         mOwners.forEach(
                 (step, owner) -> {
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallMachine.java
@@ -90,7 +90,7 @@
     }
 
     /** Returns the number of unfinished calls. */
-    public int size() {
+    public int callCount() {
         return mCalls.size();
     }
 
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RoundRobinPlacement.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/RoundRobinSamplePlacement.java
@@ -8,7 +8,7 @@
  *
  * <p>Not thread safe; confined to the event loop of its {@link StepMachine}.
  */
-final class RoundRobinPlacement implements SamplePlacement {
+final class RoundRobinSamplePlacement implements SamplePlacement {
     private final RoundRobinTurns mTurns = new RoundRobinTurns();
 
     @Override
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepMachine.java
@@ -76,7 +76,7 @@
         SamplePlacement placement =
                 policy.isEnabled(Mechanism.SAMPLE_PLACEMENT)
                         ? new SpeedProportionalPlacement()
-                        : new RoundRobinPlacement();
+                        : new RoundRobinSamplePlacement();
         return new StepMachine(fleet, order, placement, policy, outputs);
     }
 
@@ -219,7 +219,7 @@
     }
 
     /** Returns the number of samples that run at endpoints. */
-    public int runningSamples() {
+    public int runningSampleCount() {
         return (int) mRuns.values().stream().filter(s -> s.mState == State.RUNNING).count();
     }
 
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallMachineTest.java
@@ -237,7 +237,7 @@
 
         assertThat(mOutputs.mCancelled, contains(1L));
         assertThat(mFleet.get("e1").activeRequests(), is(0));
-        assertThat(mMachine.size(), is(0));
+        assertThat(mMachine.callCount(), is(0));
     }
 
     @ParameterizedTest
@@ -279,7 +279,7 @@
         }
         mMachine.onTick(now + 2 * DEADLINE);
 
-        assertThat(mMachine.size(), is(0));
+        assertThat(mMachine.callCount(), is(0));
         kinds.forEach(
                 (id, kind) -> {
                     assertThat(mOutputs.mOutcomeCounts.get(id), is(1));
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulationTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulationTest.java
@@ -60,12 +60,17 @@
         double roundRobin =
                 meanWait(
                         new WantedGroupsFirstSampleOrder(),
-                        new RoundRobinPlacement(),
+                        new RoundRobinSamplePlacement(),
                         pool,
                         trainers,
                         seed);
         double baseline =
-                meanWait(new FifoSampleOrder(), new RoundRobinPlacement(), pool, trainers, seed);
+                meanWait(
+                        new FifoSampleOrder(),
+                        new RoundRobinSamplePlacement(),
+                        pool,
+                        trainers,
+                        seed);
         System.out.printf(
                 "steps pool=%s trainers=%d ours=%.0f arrival=%.0f round-robin=%.0f both=%.0f ms%n",
                 pool, trainers, combined, arrival, roundRobin, baseline);
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/CallController.java
@@ -99,7 +99,7 @@
     }
 
     int openCalls() {
-        return mMachine.size();
+        return mMachine.callCount();
     }
 
     void onTick(long now) {
@@ -203,7 +203,7 @@
                                 .with("request", call.requestId())
                                 .with("service", call.service())
                                 .with("retry_after_ms", retryAfterMillis)
-                                .with("open_calls", mMachine.size())
+                                .with("open_calls", mMachine.callCount())
                                 .with("why", reason));
         int errors = mErrorCounts.getOrDefault(call.id(), 0);
         Client client = finish(call);
--- a/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
+++ b/ebonyrun-daemon/src/main/java/org/ebonyrun/daemon/hosted/HostedEntry.java
@@ -223,7 +223,8 @@
         Map<String, Double> gauges = new TreeMap<>();
         gauges.put("ebonyrun_entry_open_calls", (double) mCalls.openCalls());
         gauges.put("ebonyrun_entry_owned_steps", (double) mStepOwnership.size());
-        gauges.put("ebonyrun_entry_running_samples", (double) mSamples.machine().runningSamples());
+        gauges.put(
+                "ebonyrun_entry_running_samples", (double) mSamples.machine().runningSampleCount());
         gauges.put("ebonyrun_entry_endpoints", (double) mFleet.all().size());
         gauges.put("ebonyrun_entry_config_version", (double) mRoutes.version());
         gauges.put("ebonyrun_entry_ready", mReady ? 1.0 : 0.0);
