--- a/bin/plays.py
+++ b/bin/plays.py
@@ -2,9 +2,9 @@
 
 Shared by bin/rounds and bin/ablate. A day is a scenario of the benchmark program, which prints
 the worth of a run in a line `worth X = whole day ...`. Only this worth is read and compared; the
-program prints a score apart from it. A play is one run of a day with a seed and a version. Each
-version is run in a clone. Clones are created beside this checkout and must not be below /tmp,
-because the benchmark gives each process a private /tmp.
+score, which the program prints separately, is ignored. A play is one run of a day with a seed and
+a version. Each version is run in a clone. Clones are created beside this checkout and must not be
+below /tmp, because the benchmark gives each process a private /tmp.
 """
 
 import concurrent.futures
@@ -19,7 +19,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DAYS = "quiet-1,trouble-1,scale-1,trouble-2,scale-2,trouble-3"
-# A play that takes longer has failed; a usual one takes half a minute to three minutes.
+# A play that takes longer counts as failed; most take half a minute to three minutes.
 PLAY_SECONDS = 900
 WORTH = re.compile(r"^worth (-?[0-9.]+) = whole day", re.MULTILINE)
 BROKEN = re.compile(r"^(rules broken: .*|.*BROKEN: .*)$", re.MULTILINE)
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/ControlBench.java
@@ -69,7 +69,7 @@
         mMembership.onVmList(mPeers, 0);
     }
 
-    /** Handles the result of one endpoint that has loaded a version, out of the whole fleet. */
+    /** Handles an endpoint's report that it has loaded a version. */
     @Benchmark
     public void loadResult() {
         mPlanner.onLatestVersion(SERVICE, ++mVersion, 0);
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EntryBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/EntryBench.java
@@ -20,7 +20,7 @@
 
 /**
  * Runs a real entry over loopback against emulated agents and measures the CPU time of its threads,
- * the bytes on its links and its heap, by the number of agents and calls.
+ * the bytes on its links and its heap, by the number of agents, when idle and under load.
  */
 final class EntryBench {
     private static final String HOST = "127.0.0.1";
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/OverheadBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/OverheadBench.java
@@ -19,7 +19,8 @@
 import org.ebonyrun.standin.platform.StandinPlatform;
 
 /**
- * Compares the latency of a call through entry and agent with that of a direct call, alternately.
+ * Compares the latency of calls through entry and agent with that of direct calls. The two kinds of
+ * calls alternate.
  */
 final class OverheadBench {
     private static final String HOST = "127.0.0.1";
--- a/ebonyrun-bench/src/main/java/org/ebonyrun/bench/StepBench.java
+++ b/ebonyrun-bench/src/main/java/org/ebonyrun/bench/StepBench.java
@@ -55,7 +55,7 @@
     @Param({"256", "1024", "4096"})
     public int mSlots;
 
-    /** Answers every output with an event, which waits in a queue until {@link #drain}. */
+    /** Queues responses of the store and of agents as events until {@link #drain} runs them. */
     private static final class EventQueue implements RolloutOutputs {
         private final Queue<Runnable> mEvents = new ArrayDeque<>();
         private final List<Work> mSubmitted = new ArrayList<>();
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ConfigCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/ConfigCommand.java
@@ -147,12 +147,12 @@
             long oldest = Math.max(1, newest - options.getInt("last") + 1);
             Table table = Table.withHeading("VERSION", "AUTHOR", "BYTES");
             for (long version = newest; version >= oldest; version--) {
-                Result<HttpResponse> entry =
+                Result<HttpResponse> stored =
                         remote.send("GET", CONFIG_PATH + "/" + version, new byte[0]);
                 if (options.getBoolean("json")) {
-                    RemoteProcess.printResponse(entry, System.out);
-                } else if (isSuccess(entry)) {
-                    JsonNode config = Json.tree(entry.orThrow().body());
+                    RemoteProcess.printResponse(stored, System.out);
+                } else if (isSuccess(stored)) {
+                    JsonNode config = Json.tree(stored.orThrow().body());
                     int length = config.path("text").asText().length();
                     table.addRow(version, config.path("author").asText(), length);
                 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/FaultsCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/FaultsCommand.java
@@ -25,9 +25,9 @@
     /** Creates the command. */
     public FaultsCommand() {}
 
-    /** The outcomes of a cell, one for each occurrence of its step that was hit. */
+    /** A cell and the outcome of its run for each of {@link FaultMatrix#OCCURRENCES}. */
     private record CellResult(FaultMatrix.Cell cell, List<FaultOutcome> outcomes) {
-        boolean isKept() {
+        boolean hasPassed() {
             return outcomes.stream().allMatch(FaultOutcome::hasPassed);
         }
     }
@@ -36,7 +36,7 @@
     public void register(Subparsers parsers) {
         Subparser parser =
                 parsers.addParser("faults")
-                        .help("run every fault at every step, and pairs of faults, in virtual time")
+                        .help("run each fault at each injection point, and pairs, in virtual time")
                         .epilog("example: ebonyrun faults --pairs 1000 --write docs/FAULTS.md");
         parser.setDefault("command", this);
         parser.addArgument("--pairs").type(Integer.class).setDefault(DEFAULT_PAIRS);
@@ -60,21 +60,26 @@
                         .parallel()
                         .mapToObj(FaultMatrix::runPair)
                         .collect(Collectors.toList());
-        List<String> broken = listBroken(cells, pairs, first);
-        broken.stream().limit(MAX_PRINTED).forEach(System.out::println);
+        List<String> failures = describeFailures(cells, pairs, first);
+        failures.stream().limit(MAX_PRINTED).forEach(System.out::println);
         System.out.println(
-                cells.size() + " cells, " + pairs.size() + " pairs, " + broken.size() + " broken");
+                cells.size()
+                        + " cells, "
+                        + pairs.size()
+                        + " pairs, "
+                        + failures.size()
+                        + " broken");
         String page = formatPage(cells);
         if (options.getString("write") != null) {
             Files.writeString(Path.of(options.getString("write")), page);
         }
-        boolean stale =
+        boolean differs =
                 options.getString("check") != null
                         && !Files.readString(Path.of(options.getString("check"))).equals(page);
-        if (stale) {
+        if (differs) {
             System.out.println(options.getString("check") + " differs from the matrix of this run");
         }
-        return broken.isEmpty() && !stale ? ExitStatus.OK : ExitStatus.FAILED;
+        return failures.isEmpty() && !differs ? ExitStatus.OK : ExitStatus.FAILED;
     }
 
     private static CellResult runCell(FaultMatrix.Cell cell) {
@@ -85,32 +90,36 @@
         return new CellResult(cell, outcomes);
     }
 
-    private static List<String> listBroken(
+    private static List<String> describeFailures(
             List<CellResult> cells, List<FaultOutcome> pairs, long firstPair) {
-        List<String> broken = new ArrayList<>();
+        List<String> failures = new ArrayList<>();
         for (CellResult result : cells) {
             for (FaultOutcome outcome : result.outcomes()) {
                 if (!outcome.hasPassed()) {
-                    broken.add(
-                            result.cell() + " seed " + outcome.seed() + " " + firstBroken(outcome));
+                    failures.add(
+                            result.cell()
+                                    + " seed "
+                                    + outcome.seed()
+                                    + " "
+                                    + firstViolations(outcome));
                 }
             }
         }
         for (int i = 0; i < pairs.size(); i++) {
             if (!pairs.get(i).hasPassed()) {
                 long seed = firstPair + i;
-                broken.add(
+                failures.add(
                         "pair "
                                 + seed
                                 + " "
                                 + FaultMatrix.faultPair(seed)
-                                + firstBroken(pairs.get(i)));
+                                + firstViolations(pairs.get(i)));
             }
         }
-        return broken;
+        return failures;
     }
 
-    private static List<String> firstBroken(FaultOutcome outcome) {
+    private static List<String> firstViolations(FaultOutcome outcome) {
         return outcome.violations().stream().limit(3).toList();
     }
 
@@ -129,8 +138,8 @@
         for (FaultKind kind : FaultKind.values()) {
             text.append("## ").append(kind).append("\n\n");
             text.append("| path | step | outcome | struck | seed |\n|---|---|---|---|---|\n");
-            for (InjectionPoint step : InjectionPoint.values()) {
-                appendRow(text, new FaultMatrix.Cell(step, kind), byCell);
+            for (InjectionPoint point : InjectionPoint.values()) {
+                appendRow(text, new FaultMatrix.Cell(point, kind), byCell);
             }
             text.append('\n');
         }
@@ -148,10 +157,10 @@
             text.append(" | — ").append(cell.notApplicableReason().orElse("")).append(" | | |\n");
             return;
         }
-        int struck = result.outcomes().stream().mapToInt(FaultOutcome::injectedFaults).sum();
-        String outcome = result.isKept() ? "kept" : "BROKEN";
-        text.append(" | ").append(struck == 0 ? "did not occur" : outcome);
-        text.append(" | ").append(struck).append(" | ");
+        int injected = result.outcomes().stream().mapToInt(FaultOutcome::injectedFaults).sum();
+        String outcome = result.hasPassed() ? "kept" : "BROKEN";
+        text.append(" | ").append(injected == 0 ? "did not occur" : outcome);
+        text.append(" | ").append(injected).append(" | ");
         text.append(result.outcomes().get(0).seed()).append(" |\n");
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StandinCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StandinCommand.java
@@ -40,7 +40,7 @@
         parser.addArgument("kind").choices("platform", "engine", "service");
         parser.addArgument("--listen").required(true).help("loopback address, host:port");
         parser.addArgument("--vms").help("JSON file with the list of VMs; platform only");
-        parser.addArgument("--name").setDefault("standin").help("name that run ids start with");
+        parser.addArgument("--name").setDefault("standin").help("name, which run IDs start with");
         parser.addArgument("--slots").type(Integer.class).setDefault(DEFAULT_SLOTS);
         parser.addArgument("--chunk-ms").type(Integer.class).setDefault(DEFAULT_CHUNK_MILLIS);
     }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StatusCommand.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/command/StatusCommand.java
@@ -9,7 +9,7 @@
 import org.ebonyrun.daemon.store.Json;
 import org.ebonyrun.ports.http.HttpResponse;
 
-/** Shows classes with their targets, endpoints and steps, from the view of one entry. Stateless. */
+/** Shows classes with their targets, endpoints and steps, as reported by one entry. Stateless. */
 public final class StatusCommand implements Command {
     /** Creates the command. */
     public StatusCommand() {}
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/Demo.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/Demo.java
@@ -17,7 +17,7 @@
 
     private Demo() {}
 
-    /** Runs the demonstration and returns whether every guarantee was kept. */
+    /** Runs the demonstration and returns whether every guarantee held. */
     public static boolean run(DemoOptions options, PrintStream out)
             throws IOException, InterruptedException {
         progress(options, out, "starting 2 entries, 4 engines and 2 plain services");
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoAudit.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoAudit.java
@@ -24,7 +24,7 @@
     private final StandinTrainer mTrainer;
     private final Map<String, EngineRun> mRuns = new HashMap<>();
     private final Map<String, Integer> mSyncRuns = new HashMap<>();
-    private final List<String> mBroken = new ArrayList<>();
+    private final List<String> mViolations = new ArrayList<>();
 
     DemoAudit(DemoFleet fleet, CallResults calls, StandinTrainer trainer) {
         mCallResults = calls;
@@ -43,7 +43,7 @@
         long missing = countMissing();
         check(
                 mCallResults.mWrongAnswers.isEmpty(),
-                "wrong or partial answers: " + mCallResults.mWrongAnswers);
+                "wrong or incomplete answers: " + mCallResults.mWrongAnswers);
         check(missing == 0, missing + " samples are missing");
         check(mTrainer.completedSteps() > 0, "no step was completed: " + mTrainer.lastError());
         check(mCallResults.mAnswered.get() > 0, "no call was answered");
@@ -66,16 +66,14 @@
                 missing,
                 mTrainer.samples().stream().mapToLong(ReceivedSample::age).max().orElse(0),
                 (long) idle.stream().mapToLong(Long::longValue).average().orElse(0),
-                List.copyOf(mBroken));
+                List.copyOf(mViolations));
     }
 
     private long checkSyncs() {
         long twice = mSyncRuns.values().stream().filter(count -> count > 1).count();
         check(twice == 0, twice + " syncs ran more than once");
         for (String key : mCallResults.mSyncNotRun) {
-            check(
-                    !mSyncRuns.containsKey(key),
-                    key + " ran although its response said that it had not run");
+            check(!mSyncRuns.containsKey(key), key + " ran although it was reported as not run");
         }
         for (String key : mCallResults.mSyncAnswered) {
             check(mSyncRuns.containsKey(key), key + " was answered but did not run");
@@ -108,9 +106,9 @@
             check(
                     versionsMatch,
                     slot
-                            + " names versions "
+                            + " states versions "
                             + sample.versions()
-                            + " but ran on "
+                            + " instead of "
                             + run.versions());
             boolean complete =
                     DemoLoad.isCompleteAnswer(
@@ -134,7 +132,7 @@
 
     private void check(boolean condition, String violation) {
         if (!condition) {
-            mBroken.add(violation);
+            mViolations.add(violation);
         }
     }
 }
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoLoad.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoLoad.java
@@ -89,7 +89,7 @@
         return true;
     }
 
-    /** Returns whether a text is the complete answer of a stand-in engine to a prompt. */
+    /** Returns whether a text is a stand-in engine's complete response to a prompt. */
     static boolean isCompleteAnswer(String text, String prompt, int tokens) {
         String[] words = text.split(" ");
         boolean promptMatches = words[0].substring(words[0].indexOf(':') + 1).equals(prompt);
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoReport.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/demo/DemoReport.java
@@ -19,7 +19,7 @@
  * @param steps completed steps
  * @param samples samples that arrived
  * @param duplicates samples that arrived more than once
- * @param missing slots of completed steps that never arrived
+ * @param missing slots of completed steps for which no sample arrived
  * @param oldestVersions age of the oldest sample at its arrival, in versions
  * @param idleMillis mean time for which the trainer waited for a step, in milliseconds
  * @param broken descriptions of violated guarantees; empty on success
--- a/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogAnalysis.java
+++ b/ebonyrun-client/src/main/java/org/ebonyrun/client/explain/LogAnalysis.java
@@ -53,12 +53,13 @@
                             versionKey(event.getText("model"), event.getInt("version")),
                             event.atMillis());
             case "order" -> mOrderTimes.add(event.atMillis());
-            case "call.sent" -> call(event);
-            case "call.attempt" -> call(event).onAttempt(event.getText("end"), event.atMillis());
+            case "call.sent" -> getOrAddCall(event);
+            case "call.attempt" ->
+                    getOrAddCall(event).onAttempt(event.getText("end"), event.atMillis());
             case "call.failed", "call.refused" ->
-                    call(event).onFailure(event.getText("why"), event.atMillis());
+                    getOrAddCall(event).onFailure(event.getText("why"), event.atMillis());
             default -> {
-                // Other events are irrelevant here.
+                // Other events are not analyzed.
             }
         }
     }
@@ -91,7 +92,7 @@
     }
 
     private void endRun(LogEvent event) {
-        // A stopped run may log its end too; only the first of both events counts.
+        // A stopped run may log its end too; only the first of the two events counts.
         Run run = mRuns.remove(runKey(event));
         if (run == null) {
             return;
@@ -115,7 +116,7 @@
         return text.replaceAll(" for [0-9]+ ms", "");
     }
 
-    private CallSummary call(LogEvent event) {
+    private CallSummary getOrAddCall(LogEvent event) {
         return mCalls.computeIfAbsent(
                 event.getText("request"), request -> new CallSummary(request, event.atMillis()));
     }
@@ -153,7 +154,7 @@
                 .toList();
     }
 
-    /** Returns the begin and end of the longest time between two successive orders. */
+    /** Returns the start and end of the longest time between two successive orders. */
     public List<Long> longestOrderGap() {
         long begin = mBeginMillis;
         long end = mBeginMillis;
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Figures.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/experiment/Figures.java
@@ -7,15 +7,15 @@
  *
  * @param inTime share of answered calls that met the target latency
  * @param refused share of calls that were reported as not run
- * @param failed share of calls that ended in another way
+ * @param failed share of calls that were neither answered nor reported as not run
  * @param p50Millis median latency of answered calls, in milliseconds
  * @param p99Millis 99th percentile of the latency of answered calls, in milliseconds
  * @param idleSeconds mean time that a trainer waited for the samples of a step, in seconds
  * @param steps number of completed steps of all trainers
  * @param meanAge mean staleness of delivered samples, in versions
- * @param maxAge staleness of the stalest delivered sample, in versions; a mean of runs holds their
- *     maximum
- * @param wasted share of generated tokens that were not delivered
+ * @param maxAge staleness of the stalest delivered sample, in versions; for several runs, their
+ *     maximum instead of the mean
+ * @param wasted share of generated tokens whose run ended without a delivery
  */
 public record Figures(
         @JsonProperty("in_time") double inTime,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultAudit.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/fault/FaultAudit.java
@@ -15,8 +15,8 @@
 
 /**
  * Checks the guarantees of the service against the logs of endpoints, callers and trainers, and
- * that work makes progress after the faults. The texts of violations start with a guarantee's
- * number:
+ * that work makes progress after the faults. The text of a violation starts with "progress", with
+ * "fence", or with the number of the violated guarantee:
  *
  * <ol>
  *   <li>A sample states the weight versions that generated it.
@@ -118,8 +118,8 @@
             String prompt = record.call().request().prompt();
             if (outcome.text() != null) {
                 VirtualRun run = mRunsById.get(runId(outcome.text()));
-                boolean ownRun = run != null && run.prompt().equals(prompt);
-                expect(ownRun, "4 " + prompt + " got " + outcome.text());
+                boolean isRunOfCall = run != null && run.prompt().equals(prompt);
+                expect(isRunOfCall, "4 " + prompt + " got " + outcome.text());
                 expect(
                         run != null && isComplete(run, outcome.text()),
                         "4 " + prompt + " got an incomplete response");
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/StandinTrainer.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/trainer/StandinTrainer.java
@@ -18,7 +18,7 @@
 import org.ebonyrun.ports.http.HttpResponse;
 
 /**
- * A trainer, which runs a loop: it submits a step, pulls its samples, trains, and publishes new
+ * A stand-in trainer. In a loop, it submits a step, pulls its samples, trains, and publishes new
  * weights.
  *
  * <p>Thread safe: one thread runs the trainer; any thread may read its results.
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/InjectionPoint.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/InjectionPoint.java
@@ -50,7 +50,7 @@
     CONFIG_WRITE("configuration change", Participant.ENTRY),
     /** A process sends its configuration to a peer. */
     CONFIG_SPREAD("configuration change", Participant.ENTRY, Participant.AGENT, Participant.LINK),
-    /** The planner orders a load. */
+    /** The planner sends a load order to an agent. */
     LOAD_ORDER("weight swap", Participant.ENTRY, Participant.AGENT, Participant.LINK),
     /** An agent sends a load order to its engine. */
     ENGINE_LOAD("weight swap", Participant.AGENT),
@@ -61,7 +61,7 @@
     /** An entry begins to drain. */
     ENTRY_DRAIN("drain", Participant.ENTRY);
 
-    /** A kind of participant in an action; only participants can fail at it. */
+    /** A kind of participant in an action, at which a fault can be injected. */
     public enum Participant {
         /** An entry. */
         ENTRY,
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDeployment.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualDeployment.java
@@ -47,7 +47,7 @@
     private final Map<ServiceName, Long> mLatestVersions = new HashMap<>();
     private List<Peer> mFrozenVmList = List.of();
     private long mVmListFrozenUntil;
-    private long mLastLinkId;
+    private long mLastLinkNumber;
 
     private VirtualDeployment(long seed, FaultPlan faultPlan, PolicySet policies) {
         mRandom = new Random(seed);
@@ -287,7 +287,7 @@
                         entry.mMembership.onDisconnected(peer.vm(), mClock.now());
                         return;
                     }
-                    VirtualLink link = new VirtualLink(this, ++mLastLinkId, entry, agent);
+                    VirtualLink link = new VirtualLink(this, ++mLastLinkNumber, entry, agent);
                     entry.onLinkOpened(link);
                     agent.run(() -> agent.onLinkOpened(link));
                 });
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEngine.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualEngine.java
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Stops all runs without notifying the listener, for the case that the agent has crashed. */
+    /** Stops all runs without notifying the listener, because the agent has stopped. */
     void stopAll() {
         mRunning.values().forEach(run -> run.mStopped = true);
         mRunning.clear();
@@ -150,7 +150,7 @@
 
     void load(long version, long fence) {
         if (mDown) {
-            mClock.schedule(LATENCY_NANOS, () -> finishLoad(version, "connect refused"));
+            mClock.schedule(LATENCY_NANOS, () -> finishLoad(version, "connection refused"));
             return;
         }
         if (fence < mHighestFence) {
@@ -187,7 +187,7 @@
 
     private void begin(AttemptId id, VirtualRequest request) {
         if (mDown) {
-            mListener.onFailure(id, false, FaultCode.PEER_LOST, "connect refused");
+            mListener.onFailure(id, false, FaultCode.PEER_LOST, "connection refused");
             return;
         }
         VirtualRun run = new VirtualRun(mName + "-" + mLog.size(), id, request, mClock.now());
@@ -206,7 +206,7 @@
             mStreamsToTruncate--;
             mRunning.remove(run.mAttempt);
             run.mStopped = true;
-            mListener.onFailure(run.mAttempt, true, FaultCode.TRUNCATED, "no end mark");
+            mListener.onFailure(run.mAttempt, true, FaultCode.TRUNCATED, "no end marker");
             return;
         }
         boolean first = run.mSentTokens == 0;
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualProcess.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualProcess.java
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Records that the supervisor told the process to terminate and will not restart it. */
+    /** Records that the supervisor is terminating the process and will not restart it. */
     final void markTerminating() {
         mTerminating = true;
     }
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualTrainer.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/VirtualTrainer.java
@@ -14,9 +14,9 @@
 import org.ebonyrun.core.rollout.StepRequest;
 
 /**
- * A trainer in virtual time, which runs a loop: it submits a step, pulls until the step is
- * complete, trains, and publishes new weights. Repeats a request whose response is lost, with the
- * same cursor.
+ * A trainer in virtual time. In a loop, it submits a step, pulls until the step is complete,
+ * trains, and publishes new weights. It repeats a request whose response is lost, with the same
+ * cursor.
  *
  * <p>Not thread safe.
  */
@@ -53,8 +53,8 @@
      * @param groups number of prompts in a step
      * @param samplesPerGroup number of samples of each prompt
      * @param promptTokens number of tokens of each prompt
-     * @param tokensPerSample gives the length of the samples of a group, in tokens; its argument
-     *     numbers the groups of all steps consecutively
+     * @param tokensPerSample returns the length of the samples of a group, in tokens; its argument
+     *     is the number of the group, counted over all steps
      * @param trainMillis training time per step, in milliseconds
      * @param trainsWhilePulling whether it publishes a version after each response with samples
      */
--- a/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/package-info.java
+++ b/ebonyrun-standin/src/main/java/org/ebonyrun/standin/virtual/package-info.java
@@ -1,4 +1,7 @@
-/** The real decision code on fakes in virtual time, for fault tests and policy experiments. */
+/**
+ * Runs the state machines of the daemons on fakes in virtual time, for fault tests and policy
+ * experiments.
+ */
 @NullMarked
 package org.ebonyrun.standin.virtual;
 
--- a/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/LoopbackFleet.java
+++ b/ebonyrun-standin/src/test/java/org/ebonyrun/standin/loopback/LoopbackFleet.java
@@ -77,12 +77,12 @@
 
     /** Waits until the entry reports the given number of usable endpoints. */
     void awaitUsableEndpoints(int count) {
-        String usableMark = "\"usable\":true,\"free\"";
+        String usableMarker = "\"usable\":true,\"free\"";
         int usable = -1;
         while (usable != count) {
             String dump =
                     send("GET", "/admin/dump", Map.of(), "").fold(HttpResponse::text, f -> "");
-            usable = dump.split(usableMark, -1).length - 1;
+            usable = dump.split(usableMarker, -1).length - 1;
         }
     }
 
