--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/call/CallMachine.java
@@ -299,8 +299,8 @@
         mCallsByAttempt.put(attempt, call);
         endpoint.onSent();
         mPlacement.onSent(endpoint);
-        long left = Math.max(1, Nanos.toMillis(call.mSpec.deadline() - now));
-        mOutputs.send(call.mSpec, attempt, endpoint, left);
+        long leftMillis = Math.max(1, Nanos.toMillis(call.mSpec.deadline() - now));
+        mOutputs.send(call.mSpec, attempt, endpoint, leftMillis);
         return true;
     }
 
@@ -329,9 +329,9 @@
         return endpoint.activeRequests() < limit && !call.mOpenAttempts.containsValue(endpoint);
     }
 
-    private void cancelOtherAttempts(PendingCall call, long kept) {
+    private void cancelOtherAttempts(PendingCall call, long streamingAttempt) {
         for (Long attempt : List.copyOf(call.mOpenAttempts.keySet())) {
-            if (attempt != kept) {
+            if (attempt != streamingAttempt) {
                 close(call, attempt);
             }
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/fleet/Endpoint.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/fleet/Endpoint.java
@@ -46,7 +46,7 @@
         return mRecord;
     }
 
-    /** Returns the id. */
+    /** Returns the ID. */
     public String id() {
         return mRecord.id();
     }
@@ -60,7 +60,7 @@
         mRemoved = removed;
     }
 
-    /** Returns whether the endpoint may be given new work: it is neither removed nor draining. */
+    /** Returns whether the endpoint accepts new work: it is neither removed nor draining. */
     public boolean isServing() {
         return !mRemoved && !mRecord.leaving();
     }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/Lease.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/Lease.java
@@ -12,7 +12,7 @@
  * key's revision and grows with each holder.
  *
  * <p>A holder that can't reach the service keeps an expired lease, because no other process can
- * acquire it during an outage either. The service's next response tells the holder whether it was
+ * acquire it during an outage either. The service's next response shows whether the holder was
  * replaced.
  *
  * <p>Not thread safe; confined to the event loop that owns it.
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/LeaseOutputs.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/lease/LeaseOutputs.java
@@ -2,9 +2,9 @@
 
 /** Sends requests about leases to the key-value service. Called on the owner's event loop. */
 public interface LeaseOutputs {
-    /** Requests the lease if it is free; the holder then comes back as an event. */
+    /** Requests the lease, which is granted if it is free; its holder arrives as an event. */
     void acquire(String key);
 
-    /** Renews the lease; the outcome comes back as an event. */
+    /** Renews the lease; the outcome arrives as an event. */
     void renew(String key, long revision);
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/policy/Mechanism.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/policy/Mechanism.java
@@ -25,7 +25,7 @@
     CARRIED_TEXTS,
     /** Checkpoints of unfinished samples are stored in case the owner of their step is lost. */
     CHECKPOINTS,
-    /** Only a version's share of the engines load it; otherwise all outdated ones do. */
+    /** Only a share of the engines loads each version; otherwise all outdated ones do. */
     LOAD_POOLS,
     /** Only a part of a service's engines load weights at the same time. */
     LOAD_LIMIT,
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/route/CallOptions.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/route/CallOptions.java
@@ -16,7 +16,11 @@
     /** Checks that both times and the number of attempts are positive. */
     public CallOptions {
         checkArgument(timeoutMillis > 0, "timeout is not positive: %s ms", timeoutMillis);
-        checkArgument(targetLatencyMillis > 0, "goal is not positive: %s ms", targetLatencyMillis);
-        checkArgument(maxAttempts > 0, "attempts are not positive: %s", maxAttempts);
+        checkArgument(
+                targetLatencyMillis > 0,
+                "target latency is not positive: %s ms",
+                targetLatencyMillis);
+        checkArgument(
+                maxAttempts > 0, "maximum number of attempts is not positive: %s", maxAttempts);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleScheduler.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/SampleScheduler.java
@@ -25,7 +25,7 @@
     private static final long STALL_TIMEOUT_NANOS = Nanos.ofMillis(2_500);
     private static final long MIN_RUN_BEFORE_MIGRATION_NANOS = Nanos.ofMillis(600);
     private static final long MAX_LATENCY_AGE_NANOS = Nanos.ofMillis(2_500);
-    // Samples migrate from an endpoint whose latency exceeds the lowest one by this factor.
+    // Samples migrate from an endpoint whose latency is at least this multiple of the lowest one.
     private static final double SLOW_FACTOR = 2.0;
     private static final int PRIORITY_DUE_SOON = 2;
     private static final int PRIORITY_WANTED = 4;
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepMachine.java
@@ -37,7 +37,7 @@
     private static final long RETRY_BACKOFF_NANOS = Nanos.ofMillis(30);
     private static final long SCORE_RETRY_BACKOFF_NANOS = Nanos.ofMillis(100);
     private static final long WRONG_INSTANCE_BACKOFF_NANOS = Nanos.ofMillis(1_500);
-    // Added to the route's time limit, because the clocks of two owners may differ by this much.
+    // Added to the route's abandonMillis, because the clocks of two owners may differ by this much.
     private static final long ABANDON_SLACK_NANOS = Nanos.ofMillis(5_000);
     private static final int MAX_IMPOSSIBLE_RUNS = 1;
 
@@ -301,12 +301,12 @@
     }
 
     /** Handles the end of a run. */
-    public void onRunEnd(long run, RunOutcome end, long now) {
+    public void onRunEnd(long run, RunOutcome outcome, long now) {
         SampleProgress sample = mRuns.get(run);
         if (sample == null || sample.mState != State.RUNNING || sample.mEndpoint == null) {
             return;
         }
-        switch (end) {
+        switch (outcome) {
             case COMPLETE -> onTextComplete(sample, now);
             case UNFRAMED -> requeue(sample, now, 0);
             case WRONG_VERSION -> requeue(sample, now, 0);
@@ -336,7 +336,7 @@
                 }
                 requeue(sample, now, RETRY_BACKOFF_NANOS);
             }
-            default -> throw new IllegalStateException("unexpected end of a run: " + end);
+            default -> throw new IllegalStateException("unexpected run outcome: " + outcome);
         }
         dispatch(now);
     }
@@ -383,12 +383,12 @@
      * @param maxErrors the number of such errors after which the sample is abandoned
      */
     public void onScoreEnd(
-            long run, ScoreOutcome end, String score, int errors, int maxErrors, long now) {
+            long run, ScoreOutcome outcome, String score, int errors, int maxErrors, long now) {
         SampleProgress sample = mRuns.remove(run);
         if (sample == null || sample.mState != State.SCORING) {
             return;
         }
-        if (end == ScoreOutcome.SCORED) {
+        if (outcome == ScoreOutcome.SCORED) {
             finish(sample, completeResult(sample, score), now);
             return;
         }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepSpec.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/step/StepSpec.java
@@ -31,6 +31,7 @@
     public StepSpec {
         samples = List.copyOf(samples);
         checkArgument(!samples.isEmpty(), "step %s has no sample", id);
-        checkArgument(minVersion >= 0, "step %s has a bound of %s", id, minVersion);
+        checkArgument(
+                minVersion >= 0, "minimum version of step %s is negative: %s", id, minVersion);
     }
 }
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/OrderAges.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/OrderAges.java
@@ -4,10 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * The age of the last order to each endpoint, by endpoint ID. It tells the next holder of the
- * planner's lease which endpoints may still receive an order of its predecessors. An endpoint is
- * missing if it was never ordered, or if its order is older than the quiet period after which other
- * holders disregard it. A negative age means that the order may still be in transit for that time.
+ * The age of the last order to each endpoint, by endpoint ID. From it, the next holder of the
+ * planner's lease determines which endpoints may still receive an order of its predecessors. An
+ * endpoint is missing if it was never ordered, or if its last order is older than the quiet period,
+ * after which an order can no longer take effect. A negative age means that the order may still be
+ * in transit for that time.
  *
  * @param own ages of the orders of one holder, in nanoseconds; never above the true age
  * @param earlier ages of the orders of its predecessors, in nanoseconds; never above the true age
--- a/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/SwapMachine.java
+++ b/ebonyrun-core/src/main/java/org/ebonyrun/core/swap/SwapMachine.java
@@ -25,8 +25,8 @@
  * about to fall below that minimum, and the loads are spread evenly over the named versions, so
  * that most of the pool serves at any time.
  *
- * <p>Invariants: the machine gives orders only while this process holds the planner's lease, and
- * gives an endpoint none while an order of an earlier holder may still take effect there; at most
+ * <p>Invariants: the machine sends orders only while this process holds the planner's lease, and
+ * sends an endpoint none while an order of an earlier holder may still take effect there; at most
  * one order to an endpoint is open; every order carries the number of orders that the endpoint had
  * accepted, so the endpoint rejects one that arrives late.
  *
@@ -43,7 +43,7 @@
     private static final long CHECK_INTERVAL_NANOS = Nanos.ofMillis(150);
     private static final long RETRY_NANOS = Nanos.ofMillis(400);
     private static final long INSPECT_TIMEOUT_NANOS = Nanos.ofMillis(1_500);
-    // An order without effect for this time is given again.
+    // An order that has had no effect for this long is sent again.
     private static final long NO_EFFECT_NANOS = Nanos.ofMillis(1_600);
     private static final int DEFAULT_LAG = 1;
     private static final int MAX_LAG = 8;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** The newest version that a trainer named, and when it did. */
+    /** The newest version of a model that a trainer named, and when it was named. */
     private record NamedVersion(int version, long at) {}
 
     private final Fleet mFleet;
@@ -108,7 +108,7 @@
 
     /**
      * Handles the acquisition of the planner's lease after a holder whose orders are unknown. The
-     * first order is given after the quiet period.
+     * first order is sent after the quiet period.
      *
      * @param fence the fencing token, higher than that of every earlier holder
      * @param quietNanos the quiet period: how long orders of an earlier holder may take effect
@@ -124,7 +124,7 @@
      *
      * @param fence the fencing token, higher than that of every earlier holder
      * @param quietNanos the quiet period: how long orders of an earlier holder may take effect
-     * @param ages the ages of the orders given so far
+     * @param ages the ages of the orders sent so far
      */
     public void onLeaseAcquired(long fence, long quietNanos, OrderAges ages, long now) {
         startHolding(fence, quietNanos);
@@ -162,7 +162,7 @@
         return ages;
     }
 
-    /** Handles the loss or the release of the planner's lease: stops giving orders. */
+    /** Handles the loss or the release of the planner's lease: stops sending orders. */
     public void onLeaseLost() {
         mHoldsLease = false;
         mPendingLoads.values().forEach(load -> load.mEndpoint.setLoading(false));
@@ -203,7 +203,8 @@
     }
 
     /**
-     * Handles the manifest of a step, which tells how far a trainer's samples may be behind.
+     * Handles the manifest of a step, from which the machine derives how many versions the
+     * trainer's samples may lag behind.
      *
      * @param number the number of the step
      * @param minVersion the lowest version that the step accepts samples of
@@ -270,7 +271,7 @@
         }
     }
 
-    /** Checks open orders and gives new ones. */
+    /** Checks the pending loads and starts new ones. */
     public void onTick(long now) {
         if (!mHoldsLease || now - mReadyAt < 0) {
             return;
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallMachineTest.java
@@ -91,11 +91,11 @@
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"NOT_RUN", "WRONG_INSTANCE", "UNREACHABLE"})
-    void aCallThatDidNotRunIsRetriedAtAnotherEndpoint(AttemptOutcome end) {
+    void aCallThatDidNotRunIsRetriedAtAnotherEndpoint(AttemptOutcome outcome) {
         addEndpoints(2, 4);
         mMachine.onCall(call(1, RouteKind.ONCE, false, 0), 0);
         String first = mOutputs.last().endpoint();
-        mMachine.onAttemptEnd(1, end, 1);
+        mMachine.onAttemptEnd(1, outcome, 1);
 
         assertThat(mOutputs.mSent.size(), is(2));
         assertThat(mOutputs.last().endpoint(), not(first));
@@ -165,7 +165,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void theOwnDomainIsPreferredUnlessThePolicyOmitsIt(boolean preferred) {
+    void theOwnDomainIsPreferredUnlessDisabled(boolean preferred) {
         mMachine = machine(preferred ? Policy.ALL : Policy.ALL.without(Mechanism.OWN_DOMAIN));
         mFleet.onRecord(EndpointFixtures.record("e1", 4, 1, "b"));
         mFleet.onRecord(EndpointFixtures.record("e2", 4, 1, "a"));
@@ -265,15 +265,15 @@
             open.removeAll(mOutputs.mCancelled);
             for (Long attempt : List.copyOf(open)) {
                 if (random.nextInt(3) == 0) {
-                    AttemptOutcome end = AttemptOutcome.values()[random.nextInt(6)];
+                    AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(6)];
                     FakeCallOutputs.Sent sent = mOutputs.mSent.get((int) (attempt - 1));
-                    if (end == AttemptOutcome.ANSWERED
-                            || end == AttemptOutcome.SERVER_ERROR
-                            || end == AttemptOutcome.LOST) {
+                    if (outcome == AttemptOutcome.ANSWERED
+                            || outcome == AttemptOutcome.SERVER_ERROR
+                            || outcome == AttemptOutcome.LOST) {
                         runsByCall.computeIfAbsent(sent.call(), x -> new HashSet<>()).add(attempt);
                     }
                     open.remove(attempt);
-                    mMachine.onAttemptEnd(attempt, end, now);
+                    mMachine.onAttemptEnd(attempt, outcome, now);
                 }
             }
         }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallPolicyTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/call/CallPolicyTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Compares the product's policy for calls with simpler ones under simulated loads. */
+/** Compares the default order and placement of calls with simpler ones under simulated loads. */
 class CallPolicyTest {
     // Ends shortly before the next burst, so that the last one has time to be answered.
     private static final long SECONDS = 123;
 
-    private static LowestLatencyPlacement productPlacement() {
+    private static LowestLatencyPlacement defaultPlacement() {
         return LowestLatencyPlacement.preferringDomain(
                 FailureDomain.of("a"), CallMachine.BACKGROUND_SHARE);
     }
@@ -28,9 +28,9 @@
     @ParameterizedTest
     @CsvSource({"1, 40, 1", "1, 120, 2", "4, 40, 3", "4, 120, 4", "8, 80, 5"})
     void moreLookupsMeetTheirTargetThanUnderSimplerPolicies(double slowdown, int burst, long seed) {
-        ServiceLoadSimulation.Outcome product =
+        ServiceLoadSimulation.Outcome defaultOutcome =
                 simulate(
-                        new InteractiveFirstCallOrder(), productPlacement(), slowdown, burst, seed);
+                        new InteractiveFirstCallOrder(), defaultPlacement(), slowdown, burst, seed);
         ServiceLoadSimulation.Outcome fifo =
                 simulate(
                         new FifoCallOrder(), new RoundRobinCallPlacement(1), slowdown, burst, seed);
@@ -49,14 +49,21 @@
                         burst,
                         seed);
         System.out.printf(
-                "calls slowest=%.0f burst=%d ours=%s arrival=%s static=%s round-robin=%s%n",
-                slowdown, burst, text(product), text(fifo), text(staticPriority), text(roundRobin));
+                "calls slowest=%.0f burst=%d default=%s fifo=%s static=%s round-robin=%s%n",
+                slowdown,
+                burst,
+                text(defaultOutcome),
+                text(fifo),
+                text(staticPriority),
+                text(roundRobin));
 
-        assertThat(product.lookupsInTime(), greaterThan(fifo.lookupsInTime()));
-        assertThat(product.lookupsInTime(), greaterThan(staticPriority.lookupsInTime()));
-        assertThat(product.lookupsInTime(), greaterThanOrEqualTo(roundRobin.lookupsInTime()));
+        assertThat(defaultOutcome.lookupsInTime(), greaterThan(fifo.lookupsInTime()));
+        assertThat(defaultOutcome.lookupsInTime(), greaterThan(staticPriority.lookupsInTime()));
         assertThat(
-                product.scoresAnswered(), greaterThanOrEqualTo(0.99 * roundRobin.scoresAnswered()));
+                defaultOutcome.lookupsInTime(), greaterThanOrEqualTo(roundRobin.lookupsInTime()));
+        assertThat(
+                defaultOutcome.scoresAnswered(),
+                greaterThanOrEqualTo(0.99 * roundRobin.scoresAnswered()));
     }
 
     private static String text(ServiceLoadSimulation.Outcome outcome) {
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/route/RouteTableTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/route/RouteTableTest.java
@@ -16,13 +16,14 @@
     private static final ServiceName A = ServiceName.of("a");
     private static final ServiceName B = ServiceName.of("b");
 
-    private static Route route(String name, String host, String prefix, WeightedService... parts) {
+    private static Route route(
+            String name, String host, String prefix, WeightedService... services) {
         return new Route(
                 name,
                 host,
                 prefix,
                 RouteKind.IDEMPOTENT,
-                List.of(parts),
+                List.of(services),
                 new CallOptions(1_000, 100, 2, 0),
                 StepOptions.NONE);
     }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/StepMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/StepMachineTest.java
@@ -54,7 +54,7 @@
                 STEP, "x", "/", 3, EndpointFixtures.MODEL, MIN_VERSION, wanted, List.of(samples));
     }
 
-    private void own(StepSpec spec, boolean singleVersion) {
+    private void acquireStep(StepSpec spec, boolean singleVersion) {
         mMachine.onStepAcquired(spec, route(singleVersion), List.of(), List.of(), 0, 0);
     }
 
@@ -62,11 +62,11 @@
         mMachine = StepMachine.create(mFleet, Policy.ALL.without(mechanism), mOutputs);
     }
 
-    private void endpoint(String id, int version) {
+    private void addEndpoint(String id, int version) {
         mFleet.onRecord(EndpointFixtures.record(id, 8, version));
     }
 
-    private void events(long run, int from, int to, long now) {
+    private void generateEvents(long run, int from, int to, long now) {
         for (int i = from; i <= to; i++) {
             mMachine.onEvent(run, i, "d" + i, 0, now);
         }
@@ -74,10 +74,10 @@
 
     @Test
     void scoresStoresAndListsACompleteSample() {
-        endpoint("e", 2);
-        own(step(1, sample("a", "g", 1, true)), false);
+        addEndpoint("e", 2);
+        acquireStep(step(1, sample("a", "g", 1, true)), false);
         mMachine.onStreamStart(1, 2, 0);
-        events(1, 1, EVENTS, 0);
+        generateEvents(1, 1, EVENTS, 0);
         mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
         long score = mOutputs.mScores.keySet().iterator().next();
         mMachine.onScoreEnd(score, ScoreOutcome.SCORED, "stamp", 0, 4, 0);
@@ -97,15 +97,15 @@
     @ParameterizedTest
     @CsvSource({"4, 1", "3, 2", "0, 0"})
     void abandonsASampleAfterTheAllowedScoringErrors(int errors, int calls) {
-        endpoint("e", 2);
-        own(step(1, sample("a", "g", 1, true)), false);
+        addEndpoint("e", 2);
+        acquireStep(step(1, sample("a", "g", 1, true)), false);
         mMachine.onStreamStart(1, 2, 0);
-        events(1, 1, EVENTS, 0);
+        generateEvents(1, 1, EVENTS, 0);
         mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
         for (int i = 0; i < 5 && mOutputs.mStores.isEmpty(); i++) {
             long score = mOutputs.mScores.keySet().stream().reduce((x, y) -> y).orElseThrow();
-            ScoreOutcome end = errors == 0 ? ScoreOutcome.UNKNOWN : ScoreOutcome.FAILED;
-            mMachine.onScoreEnd(score, end, "", errors, 4, i * 200 * MILLI);
+            ScoreOutcome outcome = errors == 0 ? ScoreOutcome.UNKNOWN : ScoreOutcome.FAILED;
+            mMachine.onScoreEnd(score, outcome, "", errors, 4, i * 200 * MILLI);
             mMachine.onTick(i * 200 * MILLI + 150 * MILLI);
         }
 
@@ -117,20 +117,20 @@
     @EnumSource(
             value = RunOutcome.class,
             names = {"BROKEN", "UNFRAMED"})
-    void resumesABrokenRunAfterItsLastEventAtAnotherEndpoint(RunOutcome end) {
-        endpoint("e1", 2);
-        endpoint("e2", 2);
-        own(step(1, sample("a", "g", 1, false)), false);
+    void resumesABrokenRunAfterItsLastEventAtAnotherEndpoint(RunOutcome outcome) {
+        addEndpoint("e1", 2);
+        addEndpoint("e2", 2);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         String first = mOutputs.lastRun().endpoint();
         mMachine.onStreamStart(1, 2, 0);
-        events(1, 1, 2, 0);
-        mMachine.onRunEnd(1, end, MILLI);
+        generateEvents(1, 1, 2, 0);
+        mMachine.onRunEnd(1, outcome, MILLI);
         mMachine.onTick(100 * MILLI);
 
         assertThat(mOutputs.lastRun().lastEvent(), is(2));
         assertThat(mOutputs.lastRun().endpoint(), not(first));
         mMachine.onStreamStart(2, 3, 100 * MILLI);
-        events(2, 3, 3, 100 * MILLI);
+        generateEvents(2, 3, 3, 100 * MILLI);
         mMachine.onRunEnd(2, RunOutcome.COMPLETE, 100 * MILLI);
         SampleResult result = mOutputs.mStores.get(0).results().get(0);
         assertThat(result.text(), is("d1\nd2\nd3"));
@@ -139,8 +139,8 @@
 
     @Test
     void sendsNoSampleToAnEndpointBelowTheMinimumVersion() {
-        endpoint("e", 1);
-        own(step(1, sample("a", "g", 1, false)), false);
+        addEndpoint("e", 1);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         assertThat(mOutputs.mRuns, is(empty()));
 
         mFleet.get("e").observeVersion(EndpointFixtures.MODEL, 2);
@@ -150,9 +150,9 @@
 
     @Test
     void probesAnOutdatedEndpointForTheNamedVersionAtALimitedRate() {
-        endpoint("e", 1);
+        addEndpoint("e", 1);
         mMachine.onVersionNamed(EndpointFixtures.MODEL, 3);
-        own(step(1, sample("a", "g", 1, false), sample("b", "g", 1, false)), false);
+        acquireStep(step(1, sample("a", "g", 1, false), sample("b", "g", 1, false)), false);
         assertThat(mOutputs.mRuns.size(), is(1));
         assertThat(mOutputs.lastRun().options().expectedVersion(), is(3));
 
@@ -170,10 +170,10 @@
 
     @Test
     void discardsEventsOfARunBelowTheMinimumVersion() {
-        endpoint("e", 2);
-        own(step(1, sample("a", "g", 1, false)), false);
+        addEndpoint("e", 2);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         mMachine.onStreamStart(1, 1, 0);
-        events(1, 1, 1, 0);
+        generateEvents(1, 1, 1, 0);
         mMachine.onTick(100 * MILLI);
 
         assertThat(mOutputs.mCancelReasons.get(0), containsString("below the step's minimum"));
@@ -182,9 +182,9 @@
 
     @Test
     void restartsASingleVersionSampleWhenTheVersionChanges() {
-        endpoint("e1", 2);
-        endpoint("e2", 2);
-        own(step(1, sample("a", "g", 1, false)), true);
+        addEndpoint("e1", 2);
+        addEndpoint("e2", 2);
+        acquireStep(step(1, sample("a", "g", 1, false)), true);
         mMachine.onStreamStart(1, 2, 0);
         mMachine.onEvent(1, 1, "d1", 0, 0);
         mMachine.onEvent(1, 2, "d2", 3, 0);
@@ -195,10 +195,10 @@
 
     @Test
     void cancelsARunWithAMissingEvent() {
-        endpoint("e1", 2);
-        own(step(1, sample("a", "g", 1, false)), false);
+        addEndpoint("e1", 2);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         mMachine.onStreamStart(1, 2, 0);
-        events(1, 1, 1, 0);
+        generateEvents(1, 1, 1, 0);
         mMachine.onEvent(1, 3, "d3", 0, 0);
         mMachine.onTick(1_000 * MILLI);
 
@@ -208,12 +208,12 @@
 
     @Test
     void migratesASampleFromASilentEndpoint() {
-        endpoint("e1", 2);
-        endpoint("e2", 2);
-        own(step(1, sample("a", "g", 1, false)), false);
+        addEndpoint("e1", 2);
+        addEndpoint("e2", 2);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         String first = mOutputs.lastRun().endpoint();
         mMachine.onStreamStart(1, 2, 0);
-        events(1, 1, 1, 0);
+        generateEvents(1, 1, 1, 0);
         mMachine.onTick(1_001 * MILLI);
 
         assertThat(mOutputs.lastRun().endpoint(), not(first));
@@ -222,16 +222,16 @@
 
     /** Runs a sample at each of two endpoints, the first of which is five times slower. */
     private void runAtASlowAndAFastEndpoint() {
-        endpoint("e1", 2);
-        endpoint("e2", 2);
-        own(step(2, sample("a", "g", 1, false), sample("b", "h", 1, false)), false);
+        addEndpoint("e1", 2);
+        addEndpoint("e2", 2);
+        acquireStep(step(2, sample("a", "g", 1, false), sample("b", "h", 1, false)), false);
         mMachine.onStreamStart(1, 2, 0);
         mMachine.onStreamStart(2, 2, 0);
         for (int i = 1; i <= 16; i++) {
             if (i % 5 == 0) {
-                events(1, i / 5, i / 5, i * 40 * MILLI);
+                generateEvents(1, i / 5, i / 5, i * 40 * MILLI);
             }
-            events(2, i, i, i * 40 * MILLI);
+            generateEvents(2, i, i, i * 40 * MILLI);
         }
         mMachine.onTick(650 * MILLI);
     }
@@ -260,10 +260,10 @@
         if (!enabled) {
             disable(Mechanism.LISTING_DELAY);
         }
-        endpoint("e", 2);
-        own(step(2, sample("a", "g", 1, false), sample("b", "h", 1, false)), false);
+        addEndpoint("e", 2);
+        acquireStep(step(2, sample("a", "g", 1, false), sample("b", "h", 1, false)), false);
         mMachine.onStreamStart(1, 2, 0);
-        events(1, 1, EVENTS, 0);
+        generateEvents(1, 1, EVENTS, 0);
         mMachine.onRunEnd(1, RunOutcome.COMPLETE, 0);
         assertThat(mOutputs.mStores.size(), is(enabled ? 0 : 1));
         mMachine.onTick(600 * MILLI);
@@ -274,12 +274,12 @@
     @Test
     void waitsForARecordOfTheVersionIfProbesAreDisabled() {
         disable(Mechanism.TRY_OUTDATED);
-        endpoint("e", 1);
+        addEndpoint("e", 1);
         mMachine.onVersionNamed(EndpointFixtures.MODEL, 3);
-        own(step(1, sample("a", "g", 1, false)), false);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         mMachine.onTick(200 * MILLI);
         assertThat(mOutputs.mRuns, is(empty()));
-        endpoint("e", 3);
+        addEndpoint("e", 3);
         mMachine.onTick(201 * MILLI);
 
         assertThat(mOutputs.lastRun().options().expectedVersion(), is(0));
@@ -289,7 +289,7 @@
     void doesNotMigrateAPreemptedRunWhileAllEndpointsAreBusy() {
         mFleet.onRecord(EndpointFixtures.record("e1", 2, 2));
         mFleet.onRecord(EndpointFixtures.record("e2", 2, 2));
-        own(
+        acquireStep(
                 step(
                         1,
                         sample("a", "g", 4, false),
@@ -299,7 +299,7 @@
                 false);
         for (int run = 1; run <= 4; run++) {
             mMachine.onStreamStart(run, 2, 0);
-            events(run, 1, 1, 0);
+            generateEvents(run, 1, 1, 0);
         }
         for (int i = 2; i < 30; i++) {
             for (int run = 2; run <= 4; run++) {
@@ -313,8 +313,8 @@
 
     @Test
     void abandonsASampleAfterTheMaximumAttemptsOfItsRoute() {
-        endpoint("e1", 2);
-        own(step(1, sample("a", "g", 1, false)), false);
+        addEndpoint("e1", 2);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         for (int i = 1; i <= 3; i++) {
             mMachine.onRunEnd(i, RunOutcome.FAILED, i * 100 * MILLI);
             mMachine.onTick(i * 100 * MILLI + 50 * MILLI);
@@ -326,8 +326,8 @@
 
     @Test
     void abandonsAnImpossibleSampleImmediately() {
-        endpoint("e1", 2);
-        own(step(1, sample("a", "g", 1, false)), false);
+        addEndpoint("e1", 2);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         mMachine.onRunEnd(1, RunOutcome.IMPOSSIBLE, 0);
 
         assertThat(mOutputs.mStores.get(0).results().get(0).done(), is(false));
@@ -336,7 +336,8 @@
     @Test
     void runsWantedGroupsBeforeTheLongestOnes() {
         mFleet.onRecord(EndpointFixtures.record("e", 1, 2));
-        own(step(1, sample("long", "g1", 900, false), sample("short", "g2", 10, false)), false);
+        acquireStep(
+                step(1, sample("long", "g1", 900, false), sample("short", "g2", 10, false)), false);
 
         assertThat(mOutputs.lastRun().sample(), is("short"));
     }
@@ -345,7 +346,8 @@
     void runsSamplesInArrivalOrderIfTheOrderIsDisabled() {
         disable(Mechanism.SAMPLE_ORDER);
         mFleet.onRecord(EndpointFixtures.record("e", 1, 2));
-        own(step(1, sample("long", "g1", 900, false), sample("short", "g2", 10, false)), false);
+        acquireStep(
+                step(1, sample("long", "g1", 900, false), sample("short", "g2", 10, false)), false);
 
         assertThat(mOutputs.lastRun().sample(), is("long"));
     }
@@ -383,7 +385,7 @@
 
     @Test
     void continuesACheckpointOfAnEarlierOwner() {
-        endpoint("e", 2);
+        addEndpoint("e", 2);
         SampleCheckpoint text =
                 new SampleCheckpoint("a", List.of("d1", "d2"), List.of(2, 2), false);
         mMachine.onStepAcquired(
@@ -394,12 +396,12 @@
 
     @Test
     void returnsCheckpointsOfUnfinishedSamplesWithEnoughEvents() {
-        endpoint("e", 2);
-        own(step(1, sample("a", "g", 2, false), sample("b", "g", 1, false)), false);
+        addEndpoint("e", 2);
+        acquireStep(step(1, sample("a", "g", 2, false), sample("b", "g", 1, false)), false);
         mMachine.onStreamStart(1, 2, 0);
         mMachine.onStreamStart(2, 2, 0);
-        events(1, 1, 5, 0);
-        events(2, 1, 4, 0);
+        generateEvents(1, 1, 5, 0);
+        generateEvents(2, 1, 4, 0);
 
         List<SampleCheckpoint> texts = mMachine.checkpoints(STEP, 5);
         assertThat(texts.size(), is(1));
@@ -411,7 +413,7 @@
 
     @Test
     void keepsPositionsOfAnEarlierOwnersResultsAndDoesNotRunThemAgain() {
-        endpoint("e", 2);
+        addEndpoint("e", 2);
         SampleResult listed = new SampleResult("a", true, "t", List.of(2), "");
         mMachine.onStepAcquired(
                 step(2, sample("a", "g", 1, false), sample("b", "h", 1, false)),
@@ -428,14 +430,14 @@
 
     @Test
     void returnsUnlistedTextsOfAnEndedStep() {
-        endpoint("e", 2);
-        own(step(2, sample("a", "g", 2, false), sample("b", "h", 1, false)), false);
+        addEndpoint("e", 2);
+        acquireStep(step(2, sample("a", "g", 2, false), sample("b", "h", 1, false)), false);
         long complete = mOutputs.mRuns.get(0).run();
         long unfinished = mOutputs.mRuns.get(1).run();
         mMachine.onStreamStart(complete, 2, 0);
         mMachine.onStreamStart(unfinished, 2, 0);
-        events(complete, 1, EVENTS, 0);
-        events(unfinished, 1, 2, 0);
+        generateEvents(complete, 1, EVENTS, 0);
+        generateEvents(unfinished, 1, 2, 0);
         mMachine.onRunEnd(complete, RunOutcome.COMPLETE, 0);
 
         List<SampleCheckpoint> texts = mMachine.onStepEnded(STEP);
@@ -449,7 +451,7 @@
 
     @Test
     void onlyScoresACompleteTextOfAnEarlierStep() {
-        endpoint("e", 2);
+        addEndpoint("e", 2);
         SampleResult result = new SampleResult("a", true, "d1\nd2", List.of(2, 3), "old");
         mMachine.onStepAcquired(
                 step(1, sample("a", "g", 1, true)),
@@ -468,7 +470,7 @@
 
     @Test
     void storesACompleteTextOfAnEarlierStepImmediatelyIfNotScored() {
-        endpoint("e", 2);
+        addEndpoint("e", 2);
         SampleResult result = new SampleResult("a", true, "d1\nd2", List.of(2), "");
         SampleSpec unscored = sample("a", "g", 1, false);
 
@@ -487,8 +489,8 @@
 
     @Test
     void cancelsTheRunsOfAnEndedStep() {
-        endpoint("e", 2);
-        own(step(1, sample("a", "g", 1, false)), false);
+        addEndpoint("e", 2);
+        acquireStep(step(1, sample("a", "g", 1, false)), false);
         mMachine.onStepEnded(STEP);
 
         assertThat(mOutputs.mOpenRuns.keySet(), is(empty()));
@@ -518,7 +520,7 @@
                         MIN_VERSION,
                         5,
                         List.copyOf(samples));
-        own(spec, false);
+        acquireStep(spec, false);
         Map<String, SampleResult> listed = runUntilListed(random);
 
         assertThat(listed.size(), is(24));
@@ -543,8 +545,8 @@
             }
             for (Long run : List.copyOf(mOutputs.mScores.keySet())) {
                 mOutputs.mScores.remove(run);
-                ScoreOutcome end = ScoreOutcome.values()[random.nextInt(3)];
-                mMachine.onScoreEnd(run, end, "stamp", random.nextInt(2), 4, now);
+                ScoreOutcome outcome = ScoreOutcome.values()[random.nextInt(3)];
+                mMachine.onScoreEnd(run, outcome, "stamp", random.nextInt(2), 4, now);
             }
             if (stored < mOutputs.mStores.size() && random.nextInt(3) == 0) {
                 FakeStepOutputs.Store store = mOutputs.mStores.get(stored++);
@@ -568,15 +570,16 @@
         int version = random.nextInt(8) == 0 ? 1 : 2 + random.nextInt(2);
         mMachine.onStreamStart(run.run(), version, now);
         int last = complete ? EVENTS : run.lastEvent() + events;
-        events(run.run(), run.lastEvent() + 1, last, now);
-        RunOutcome[] ends = {
+        generateEvents(run.run(), run.lastEvent() + 1, last, now);
+        RunOutcome[] outcomes = {
             RunOutcome.BROKEN,
             RunOutcome.UNFRAMED,
             RunOutcome.NOT_RUN,
             RunOutcome.UNREACHABLE,
             RunOutcome.FAILED
         };
-        RunOutcome end = complete ? RunOutcome.COMPLETE : ends[random.nextInt(ends.length)];
-        mMachine.onRunEnd(run.run(), end, now);
+        RunOutcome outcome =
+                complete ? RunOutcome.COMPLETE : outcomes[random.nextInt(outcomes.length)];
+        mMachine.onRunEnd(run.run(), outcome, now);
     }
 }
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulation.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulation.java
@@ -26,7 +26,7 @@
  */
 final class TrainerLoadSimulation implements StepOutputs {
     private static final long EVENT_NANOS = Nanos.ofMillis(20);
-    private static final double SLOWER_PER_RUN = 0.03;
+    private static final double SLOWDOWN_PER_RUN = 0.03;
     private static final long TRAIN_NANOS = Nanos.ofMillis(1_000);
     private static final long TICK_NANOS = Nanos.ofMillis(20);
     private static final int GROUP_SIZE = 4;
@@ -61,7 +61,7 @@
     private final StepMachine mMachine;
     private final Random mRandom;
     private final int mGroups;
-    private final Map<String, Double> mSlowness = new HashMap<>();
+    private final Map<String, Double> mSlowdowns = new HashMap<>();
     private final Map<String, Trainer> mTrainers = new HashMap<>();
     private final Map<StepId, List<SampleCheckpoint>> mCheckpoints = new HashMap<>();
     private final Set<Long> mOpenRuns = new HashSet<>();
@@ -70,7 +70,7 @@
     /**
      * Creates a simulation.
      *
-     * @param slowness how many times slower than normal each endpoint is
+     * @param slowdowns by which factor each endpoint is slower than normal
      * @param trainers how many trainers share the pool
      * @param groups how many groups of four samples a step has
      * @param carriesTexts whether a step continues texts of the step before
@@ -78,7 +78,7 @@
     TrainerLoadSimulation(
             SampleOrder order,
             SamplePlacement placement,
-            List<Double> slowness,
+            List<Double> slowdowns,
             int trainers,
             int groups,
             boolean carriesTexts,
@@ -87,8 +87,8 @@
         mRandom = new Random(seed);
         mGroups = groups;
         mCarriesTexts = carriesTexts;
-        for (int i = 0; i < slowness.size(); i++) {
-            mSlowness.put("e" + i, slowness.get(i));
+        for (int i = 0; i < slowdowns.size(); i++) {
+            mSlowdowns.put("e" + i, slowdowns.get(i));
             mFleet.onRecord(EndpointFixtures.record("e" + i, 8, 1));
         }
         for (int i = 0; i < trainers; i++) {
@@ -158,8 +158,8 @@
     private void scheduleEvent(long run, SampleSpec sample, Endpoint endpoint, int event) {
         double eventNanos =
                 EVENT_NANOS
-                        * mSlowness.get(endpoint.id())
-                        * (1 + SLOWER_PER_RUN * endpoint.activeRequests());
+                        * mSlowdowns.get(endpoint.id())
+                        * (1 + SLOWDOWN_PER_RUN * endpoint.activeRequests());
         mClock.schedule(
                 mClock.now() + (long) eventNanos,
                 now -> generate(run, sample, endpoint, event, now));
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulationTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/step/TrainerLoadSimulationTest.java
@@ -43,14 +43,14 @@
         "two-slow, 4, 6"
     })
     void waitsAreShorterThanUnderArrivalOrderAndRoundRobin(String pool, int trainers, long seed) {
-        double combined =
+        double defaultWait =
                 meanWait(
                         new WantedGroupsFirstSampleOrder(),
                         new SpeedProportionalPlacement(),
                         pool,
                         trainers,
                         seed);
-        double arrival =
+        double fifo =
                 meanWait(
                         new FifoSampleOrder(),
                         new SpeedProportionalPlacement(),
@@ -72,11 +72,12 @@
                         trainers,
                         seed);
         System.out.printf(
-                "steps pool=%s trainers=%d ours=%.0f arrival=%.0f round-robin=%.0f both=%.0f ms%n",
-                pool, trainers, combined, arrival, roundRobin, baseline);
+                "steps pool=%s trainers=%d default=%.0f fifo=%.0f round-robin=%.0f baseline=%.0f"
+                        + " ms%n",
+                pool, trainers, defaultWait, fifo, roundRobin, baseline);
 
-        assertThat(combined, lessThan(baseline));
-        assertThat(combined, lessThanOrEqualTo(1.02 * Math.min(arrival, roundRobin)));
+        assertThat(defaultWait, lessThan(baseline));
+        assertThat(defaultWait, lessThanOrEqualTo(1.02 * Math.min(fifo, roundRobin)));
     }
 
     @ParameterizedTest
@@ -96,7 +97,7 @@
                             .run(SECONDS);
         }
         System.out.printf(
-                "carry pool=%s trainers=%d carried=%.0f again=%.0f ms%n",
+                "carry pool=%s trainers=%d carried=%.0f regenerated=%.0f ms%n",
                 pool, trainers, meanWaits[1], meanWaits[0]);
 
         assertThat(meanWaits[1], lessThan(meanWaits[0]));
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/swap/EnginePoolsTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/swap/EnginePoolsTest.java
@@ -77,11 +77,11 @@
     void aPoolChangesLittleWhenAnEngineIsRemoved() {
         List<Endpoint> before = engines(24, 4);
         List<Endpoint> after = new ArrayList<>(before.subList(1, before.size()));
-        Set<String> kept = new HashSet<>();
-        EnginePools.poolFor(before, "m2", 1).forEach(engine -> kept.add(engine.id()));
+        Set<String> poolBefore = new HashSet<>();
+        EnginePools.poolFor(before, "m2", 1).forEach(engine -> poolBefore.add(engine.id()));
         long added =
                 EnginePools.poolFor(after, "m2", 1).stream()
-                        .filter(engine -> !kept.contains(engine.id()))
+                        .filter(engine -> !poolBefore.contains(engine.id()))
                         .count();
 
         assertThat(added, lessThanOrEqualTo(2L));
--- a/ebonyrun-core/src/test/java/org/ebonyrun/core/swap/SwapMachineTest.java
+++ b/ebonyrun-core/src/test/java/org/ebonyrun/core/swap/SwapMachineTest.java
@@ -63,7 +63,7 @@
     private int mRepliedOrders;
     private int mMaxLoading;
 
-    private void omitMechanism(Mechanism mechanism) {
+    private void disable(Mechanism mechanism) {
         mMachine = SwapMachine.create(mFleet, Policy.ALL.without(mechanism), mEngines);
         mMachine.onRoutes(routes(), false);
     }
@@ -215,7 +215,7 @@
     @ValueSource(booleans = {true, false})
     void halfOfTheEnginesLoadUnlessPoolsAreDisabled(boolean pools) {
         if (!pools) {
-            omitMechanism(Mechanism.LOAD_POOLS);
+            disable(Mechanism.LOAD_POOLS);
         }
         nameSecondVersionAndRun(1);
 
@@ -225,7 +225,7 @@
 
     @Test
     void withoutLoadLimitAllOutdatedEnginesLoadAtOnce() {
-        omitMechanism(Mechanism.LOAD_LIMIT);
+        disable(Mechanism.LOAD_LIMIT);
         nameSecondVersionAndRun(2);
 
         assertThat(mMaxLoading, is(ENDPOINTS));
